--- a/internal/runner/fakeworker_test.go
+++ b/internal/runner/fakeworker_test.go
@@ -31,6 +31,8 @@
 	fence    uint64
 	runs     map[string]*fakeRun
 	needs    func(name string) worker.Room
+	// hidesStopping leaves a run out of the listing from its stop on, though it goes on until its end is listed.
+	hidesStopping bool
 	// highest is the highest run of each task that was stopped or has ended.
 	highest map[string]uint32
 	ends    []worker.End
@@ -43,7 +45,7 @@
 
 func newFakeWorker(id string, origin time.Time, capacity worker.Room, needs func(string) worker.Room) *fakeWorker {
 	return &fakeWorker{
-		id: id, capacity: capacity, origin: origin, hold: time.Second, stopTime: 30 * time.Millisecond, needs: needs,
+		id: id, capacity: capacity, origin: origin, hold: time.Second, stopTime: 50 * time.Millisecond, needs: needs,
 		runs: make(map[string]*fakeRun), highest: make(map[string]uint32), begun: make(map[string]int), done: make(map[string]int),
 	}
 }
@@ -163,6 +165,9 @@
 	w.ends = slices.DeleteFunc(w.ends, func(e worker.End) bool { return e.Number <= h.LastSeen })
 	listing := worker.Listing{Reply: w.reply(now), Ended: slices.Clone(w.ends)}
 	for name, r := range w.runs {
+		if w.hidesStopping && !r.stopping.IsZero() {
+			continue
+		}
 		listing.Running = append(listing.Running, worker.Run{Name: name, Run: r.run})
 	}
 	slices.SortFunc(listing.Running, func(a, b worker.Run) int {
--- a/internal/runner/hold.go
+++ b/internal/runner/hold.go
@@ -236,7 +236,7 @@
 	case worker.Accepted, worker.Outdated:
 		if ok && t.state == stateStopping && t.stopAnswered.IsZero() {
 			t.stopAnswered = now
-			t.checkAfter = now
+			t.checkAfter = now.Add(r.stopBound())
 			r.list(now)
 		}
 	case worker.Fenced:
@@ -253,6 +253,12 @@
 	}
 }
 
+// stopBound is how long after the answer to a stop the run may go on, by this process's clock. A worker need not list a
+// run that it is stopping, so a listing that lacks the run says that it has ended only if it was asked for later.
+func (r *Runner) stopBound() time.Duration {
+	return r.limits.Stop + r.limits.Stop/driftDivisor
+}
+
 // stopped ends a run that the worker has taken a stop for and lists no longer.
 func (r *Runner) stopped(t *task) {
 	if t.again {
--- a/internal/runner/random_test.go
+++ b/internal/runner/random_test.go
@@ -103,6 +103,7 @@
 	s.lives++
 	earlier := s.worker
 	s.worker = newFakeWorker(fmt.Sprintf("life-%d", s.lives), s.now.Add(-s.between(0, time.Hour)), worker.Room{CPU: 4 * taskCPU}, needs)
+	s.worker.hidesStopping = s.lives%2 == 0
 	if earlier != nil {
 		// What ran is counted over all lives.
 		s.worker.begun, s.worker.done = earlier.begun, earlier.done
--- a/spec/session.pml
+++ b/spec/session.pml
@@ -11,9 +11,11 @@
  *   STALE      an echo prolongs the session from when its ping was sent, not from when it came
  *   NOFENCE    a start without an answer is stopped before the task is run again
  *   ENDLESS    a start is good only until the end of its lease
+ *   STOPTIME   a run that was stopped may go on, unlisted, for the time of a stop before the task is run again
  */
 #define S 2                 /* the session's time */
 #define H 2                 /* the lease's time */
+#define STOP 1              /* the longest time of a stop at the worker */
 #define SETTLE (S + H)
 #define END 7
 #define NONE 255
@@ -30,6 +32,10 @@
 byte pinged;
 bool frozen[2];
 bool dead[2];
+bool stopping[2];           /* the worker has taken a stop for the run */
+byte stopped_by[2];         /* when that run has ended at the latest */
+bool settling;              /* agent 0 has stopped a start without an answer and waits for the run's end */
+byte settled_at;
 bool again;                 /* the task was run again after a start without an answer */
 bool lost;                  /* the entry has given up the session with agent 0 */
 byte lost_at;
@@ -49,12 +55,26 @@
   assert(runs[0] + runs[1] <= 1)
 }
 
+/* A stop fences the starts that are under way at once; a run goes on until the worker ends it. */
+inline stop_run(g) {
+  inflight[g] = 0;
+  if :: runs[g] > 0 && !stopping[g] -> stopping[g] = true; stopped_by[g] = now + STOP :: else fi
+}
+
+inline end_run(g) {
+  runs[g] = 0; stopping[g] = false
+}
+
+inline end_run_if_over(g) {
+  if :: runs[g] > 0 && (now >= lease[g] || stopping[g] && now >= stopped_by[g]) -> end_run(g) :: else fi
+}
+
 active proctype Time() {
   do
   :: atomic { now < END && !obliged(0) && !obliged(1) ->
        now++;
-       if :: runs[0] > 0 && now >= lease[0] -> runs[0] = 0 :: else fi;
-       if :: runs[1] > 0 && now >= lease[1] -> runs[1] = 0 :: else fi }
+       end_run_if_over(0);
+       end_run_if_over(1) }
   :: now == END -> break
   od
 }
@@ -94,15 +114,21 @@
 #else
   :: atomic { awake(g) && holding[g] && valid(g) && runs[g] > 0 -> lease[g] = now + H }
   /* the session is over: a stop ends the run and fences a start that is still under way */
-  :: atomic { awake(g) && holding[g] && !valid(g) -> holding[g] = false; runs[g] = 0; inflight[g] = 0 }
+  :: atomic { awake(g) && holding[g] && !valid(g) -> holding[g] = false; stop_run(g) }
 #endif
-  /* no answer to the start: settle it and run the task again, once */
-  :: atomic { g == 0 && !again && awake(g) && holding[g] && valid(g) && inflight[g] == 1 ->
-       again = true;
+  /* no answer to the start, which may have begun a run since it was listed: stop it, wait for the end of a run that may go on, and run the task again, once */
+  :: atomic { g == 0 && !again && !settling && awake(g) && holding[g] && valid(g) && inflight[g] + runs[g] == 1 ->
+       settling = true; settled_at = now + STOP;
 #ifndef NOFENCE
-       runs[g] = 0; inflight[g] = 0;
+       stop_run(g)
+#endif
+     }
+#ifdef STOPTIME
+  :: atomic { g == 0 && settling && awake(g) && holding[g] && valid(g) ->
+#else
+  :: atomic { g == 0 && settling && awake(g) && holding[g] && valid(g) && now >= settled_at ->
 #endif
-       inflight[g]++; until[g] = now + H }
+       settling = false; again = true; inflight[g]++; until[g] = now + H }
   :: atomic { g == 0 && !frozen[g] && now < END -> frozen[g] = true }
   :: atomic { frozen[g] -> frozen[g] = false }
   :: atomic { g == 0 && !dead[g] -> dead[g] = true }
@@ -118,7 +144,7 @@
   :: atomic { inflight[g] > 0 && now < until[g] -> inflight[g]--; lease[g] = until[g]; begin_run(g) }
 #endif
   :: atomic { inflight[g] > 0 -> inflight[g]-- }
-  :: atomic { runs[g] > 0 -> runs[g] = 0 }
+  :: atomic { runs[g] > 0 -> end_run(g) }
   :: now == END -> break
   od
 }
