--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 
 GO ?= go
 VERSION ?= dev
-GENERATED := internal/peer/peerpb internal/session/sessionpb internal/cluster/clusterpb internal/keep/keeppb
+GENERATED := internal/native/peer/peerpb internal/session/sessionpb internal/cluster/clusterpb internal/durable/durablepb
 
 .PHONY: all build demo test tools format vet generated generate spec unit
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,9 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package sidecar runs an agent beside a worker: it gives the runner its goroutines and connects it with the
+// Package agent runs an agent beside a worker: it gives the runner its goroutines and connects it with the
 // worker, the entries and the platform's store.
-package sidecar
+package agent
 
 import (
 	"context"
@@ -133,7 +133,7 @@
 
 // refuseDocument takes no configuration: agents need none.
 func refuseDocument([]byte) (uint64, error) {
-	return 0, errors.New("sidecar: agents take no configuration")
+	return 0, errors.New("agent: agents take no configuration")
 }
 
 func (s *Sidecar) post(event runner.Event) {
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -12,10 +12,10 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"sailhead/internal/backendstandin"
-	"sailhead/internal/daemon"
 	"sailhead/internal/logging"
-	"sailhead/internal/platformstandin"
+	"sailhead/internal/native/backendstandin"
+	"sailhead/internal/native/daemon"
+	"sailhead/internal/native/platformstandin"
 	"sailhead/internal/settings"
 )
 
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"sailhead/internal/demo"
+	"sailhead/internal/native/demo"
 )
 
 // demoCommand runs a whole small system in this process.
--- a/internal/cli/operate.go
+++ b/internal/cli/operate.go
@@ -14,7 +14,7 @@
 	"github.com/chzyer/readline"
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/operator"
+	"sailhead/internal/native/operator"
 	"sailhead/internal/settings"
 )
 
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -17,12 +17,12 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"sailhead/internal/frontend"
+	"sailhead/internal/agent"
+	"sailhead/internal/entry"
 	"sailhead/internal/logging"
 	"sailhead/internal/metric"
 	"sailhead/internal/runner"
 	"sailhead/internal/settings"
-	"sailhead/internal/sidecar"
 	"sailhead/platform"
 )
 
@@ -141,7 +141,7 @@
 	}
 	store, closeStore := platform.NewStore(string(s.PlatformAddress))
 	configurations := &platform.Configurations{}
-	entry, closeEntry := frontend.New(frontend.Settings{
+	entry, closeEntry := entry.New(entry.Settings{
 		Name: s.Name, Zone: s.Zone, Peers: listeners[2], Seeds: seedsOf(s), StopTimeout: s.StopTimeout, Ring: s.Ring, Jobs: s.Jobs,
 		Keep: platform.NewKeptJobs(store), StoreWrites: s.StoreWrites,
 	}, configurations, platform.NewNews(store), logger, metrics)
@@ -176,7 +176,7 @@
 // stopEntry stops an entry as planned: every request that arrives is answered. Once the balancer sends no more
 // connections and no job is under way there is no reason to wait. Where no entry is ready the balancer goes on
 // sending, and this one goes on serving to the end.
-func stopEntry(entry *frontend.Frontend, ingress *platform.Ingress) error {
+func stopEntry(entry *entry.Frontend, ingress *platform.Ingress) error {
 	until := entry.Leave()
 	time.Sleep(min(balancerDelay, time.Until(until)))
 	for ingress.SinceConnection() < quietTime && time.Now().Before(until) {
@@ -199,7 +199,7 @@
 	}
 	store, closeStore := platform.NewStore(string(s.PlatformAddress))
 	worker, closeWorker := platform.NewWorker(string(s.BackendAddress))
-	agent, closeAgent := sidecar.New(sidecar.Settings{
+	agent, closeAgent := agent.New(agent.Settings{
 		Name: s.Name, Zone: s.Zone, Sessions: listeners[1], Seeds: seedsOf(s),
 		Limits: runner.DefaultLimits(s.HoldTime, s.StopTime), StopTimeout: s.StopTimeout, Ring: s.Ring,
 	}, worker, platform.NewNews(store), logger, metrics)
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -11,7 +11,7 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/operator"
+	"sailhead/internal/native/operator"
 	"sailhead/internal/timeline"
 )
 
--- a/internal/keep/commit.go
+++ b/internal/durable/commit.go
@@ -1,13 +1,13 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"slices"
 	"time"
 
-	"sailhead/internal/keep/keeppb"
+	"sailhead/internal/durable/durablepb"
 )
 
 const (
@@ -74,8 +74,8 @@
 	k.emit(open.commit)
 }
 
-func recordsOf(changes []*change) []*keeppb.Record {
-	records := make([]*keeppb.Record, 0, len(changes))
+func recordsOf(changes []*change) []*durablepb.Record {
+	records := make([]*durablepb.Record, 0, len(changes))
 	for _, c := range changes {
 		records = append(records, c.record)
 	}
--- a/internal/keep/keeper_test.go
+++ b/internal/durable/coordinator_test.go
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"testing"
 	"time"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep/keeppb"
+	"sailhead/internal/durable/durablepb"
 	"sailhead/internal/runner"
 )
 
@@ -95,7 +95,7 @@
 func TestAnEndIsNotedOnlyOnceItIsWritten(t *testing.T) {
 	const id = "00000000000000aa"
 	k, shard := newOwner(id)
-	batch := encodeBatch([]*keeppb.Record{{Record: &keeppb.Record_Accepted{Accepted: PackJob(testJob(id))}}})
+	batch := encodeBatch([]*durablepb.Record{{Record: &durablepb.Record_Accepted{Accepted: PackJob(testJob(id))}}})
 	effects := k.Handle(testStart, Loaded{Shard: shard, Token: 20, Batches: []StoredBatch{{Sequence: 1, Data: batch}}})
 	if kept, ok := find[ToDispatcher](effects); !ok || kept.Event.(dispatch.Kept).Job.ID != id {
 		t.Fatal("the job is not taken up")
--- a/internal/keep/keeppb/generate.sh
+++ b/internal/durable/durablepb/generate.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # SPDX-License-Identifier: MIT
-# generate.sh writes keep.pb.go and keep.twirp.go into the folder given, or beside itself.
+# generate.sh writes durable.pb.go and durable.twirp.go into the folder given, or beside itself.
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 out=${1:-$here}
@@ -8,4 +8,4 @@
 trap 'rm -rf "$bin"' EXIT
 cd "$here"
 go build -o "$bin/" google.golang.org/protobuf/cmd/protoc-gen-go github.com/twitchtv/twirp/protoc-gen-twirp
-PATH="$bin:$PATH" protoc --proto_path="$here" --go_out="$out" --go_opt=paths=source_relative --twirp_out="$out" --twirp_opt=paths=source_relative keep.proto
+PATH="$bin:$PATH" protoc --proto_path="$here" --go_out="$out" --go_opt=paths=source_relative --twirp_out="$out" --twirp_opt=paths=source_relative durable.proto
--- a/internal/keep/event.go
+++ b/internal/durable/event.go
@@ -1,12 +1,12 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package keep owns the jobs that must be kept. Jobs are dealt by the hash of their ids over shards; an entry owns a
+// Package durable owns the jobs that must be kept. Jobs are dealt by the hash of their ids over shards; an entry owns a
 // shard by a claim in the platform's store that lives as long as the entry's lease, and the claim's revision is the
 // fencing token of all writes. What was accepted and what has ended is written before it is told.
 //
 // Keeper is a state machine without I/O: events go in with a time, effects come out.
-package keep
+package durable
 
 import (
 	"time"
--- a/internal/keep/job.go
+++ b/internal/durable/job.go
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"slices"
 	"time"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep/keeppb"
+	"sailhead/internal/durable/durablepb"
 	"sailhead/internal/runner"
 )
 
@@ -21,7 +21,7 @@
 	names []string
 	done  map[uint32]bool
 	// failed are the runs that have failed.
-	failed []*keeppb.FailedRun
+	failed []*durablepb.FailedRun
 	// state is what was decided here, and written the state that is in the store; 0 before the acceptance is.
 	state   State
 	written State
@@ -67,7 +67,7 @@
 
 // hasFailed reports whether a failed run is counted already.
 func (j *job) hasFailed(task uint32, e TaskEnded) bool {
-	return slices.ContainsFunc(j.failed, func(f *keeppb.FailedRun) bool {
+	return slices.ContainsFunc(j.failed, func(f *durablepb.FailedRun) bool {
 		return f.Task == task && f.Run == e.Update.Run && f.Agent == string(e.Agent)
 	})
 }
@@ -93,7 +93,7 @@
 	case j.hasFailed(task, e):
 		return false
 	default:
-		j.failed = append(j.failed, &keeppb.FailedRun{Task: task, Run: e.Update.Run, Agent: string(e.Agent)})
+		j.failed = append(j.failed, &durablepb.FailedRun{Task: task, Run: e.Update.Run, Agent: string(e.Agent)})
 	}
 	j.begun = true
 	switch {
@@ -106,16 +106,16 @@
 }
 
 // record returns what is to be written of the job: its end, or its progress.
-func (j *job) record() *keeppb.Record {
+func (j *job) record() *durablepb.Record {
 	if j.state.IsEnd() {
-		return &keeppb.Record{Record: &keeppb.Record_Ended{Ended: &keeppb.Ended{Id: j.id, State: stateToPB[j.state]}}}
+		return &durablepb.Record{Record: &durablepb.Record_Ended{Ended: &durablepb.Ended{Id: j.id, State: stateToPB[j.state]}}}
 	}
-	progress := &keeppb.Progress{Id: j.id, Failed: slices.Clone(j.failed)}
+	progress := &durablepb.Progress{Id: j.id, Failed: slices.Clone(j.failed)}
 	for task := range j.done {
 		progress.Done = append(progress.Done, task)
 	}
 	slices.Sort(progress.Done)
-	return &keeppb.Record{Record: &keeppb.Record_Progress{Progress: progress}}
+	return &durablepb.Record{Record: &durablepb.Record_Progress{Progress: progress}}
 }
 
 // kept returns the job as the dispatcher takes it up.
--- a/internal/keep/own.go
+++ b/internal/durable/own.go
@@ -1,13 +1,13 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"time"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep/keeppb"
+	"sailhead/internal/durable/durablepb"
 )
 
 func (k *Keeper) load(now time.Time, s *shard) {
@@ -56,7 +56,7 @@
 // own begins to serve a shard.
 func (k *Keeper) own(s *shard, notBefore time.Time) {
 	s.state = owning
-	s.add(nil, ownedRecord(&keeppb.Owned{Name: k.self.Owner, Address: k.self.Address}))
+	s.add(nil, ownedRecord(&durablepb.Owned{Name: k.self.Owner, Address: k.self.Address}))
 	for _, j := range s.jobs {
 		if !j.written.IsEnd() {
 			k.emit(ToDispatcher{Event: j.kept(notBefore)})
@@ -65,8 +65,8 @@
 	k.note(s, "shard_owned", "")
 }
 
-func ownedRecord(owned *keeppb.Owned) *keeppb.Record {
-	return &keeppb.Record{Record: &keeppb.Record_Owned{Owned: owned}}
+func ownedRecord(owned *durablepb.Owned) *durablepb.Record {
+	return &durablepb.Record{Record: &durablepb.Record_Owned{Owned: owned}}
 }
 
 // lose gives a shard up at once: nothing more is started for it, and what runs is stopped.
@@ -113,7 +113,7 @@
 		case s.state == owning && !s.releasing:
 			s.releasing = true
 			k.abandon(s)
-			s.add(nil, ownedRecord(&keeppb.Owned{Name: k.self.Owner, Address: k.self.Address, Released: runs == 0}))
+			s.add(nil, ownedRecord(&durablepb.Owned{Name: k.self.Owner, Address: k.self.Address, Released: runs == 0}))
 			held++
 		case s.state == owning:
 			held++
--- a/internal/keep/owners.go
+++ b/internal/durable/owners.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"github.com/go-faster/errors"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep/keeppb"
+	"sailhead/internal/durable/durablepb"
 )
 
 // PathPrefix begins the paths at which Server is served.
-const PathPrefix = keeppb.KeepPathPrefix
+const PathPrefix = durablepb.KeepPathPrefix
 
 const (
 	// ownerTimeout bounds a request to an owner, which may have to wait for the store.
@@ -42,8 +42,8 @@
 	return &Owners{client: &http.Client{Transport: transport, Timeout: ownerTimeout}}, transport.CloseIdleConnections
 }
 
-func (o *Owners) at(address string) keeppb.Keep {
-	return keeppb.NewKeepProtobufClient("http://"+address, o.client)
+func (o *Owners) at(address string) durablepb.Keep {
+	return durablepb.NewKeepProtobufClient("http://"+address, o.client)
 }
 
 // Submit hands a job to the owner at an address.
@@ -53,17 +53,17 @@
 
 // State asks the owner at an address for the state of a job.
 func (o *Owners) State(ctx context.Context, address, id string) Answer {
-	return toAnswer(o.at(address).State(ctx, &keeppb.JobRequest{Id: id}))
+	return toAnswer(o.at(address).State(ctx, &durablepb.JobRequest{Id: id}))
 }
 
 // Cancel asks the owner at an address to end a job.
 func (o *Owners) Cancel(ctx context.Context, address, id string) Answer {
-	return toAnswer(o.at(address).Cancel(ctx, &keeppb.JobRequest{Id: id}))
+	return toAnswer(o.at(address).Cancel(ctx, &durablepb.JobRequest{Id: id}))
 }
 
 // Pending asks the entry at an address for its number of jobs that have not begun; ok is false if it does not answer.
 func (o *Owners) Pending(ctx context.Context, address, kind string) (jobs int, ok bool) {
-	answer, err := o.at(address).Pending(ctx, &keeppb.PendingRequest{Kind: kind})
+	answer, err := o.at(address).Pending(ctx, &durablepb.PendingRequest{Kind: kind})
 	if err != nil || answer.Incomplete {
 		return 0, false
 	}
@@ -72,12 +72,12 @@
 
 // Surrender asks the entry at an address to give a shard up, and reports whether it surely has, or has ended.
 func (o *Owners) Surrender(ctx context.Context, address string, shard Shard, token Token) bool {
-	_, err := o.at(address).Surrender(ctx, &keeppb.SurrenderRequest{Shard: uint32(shard), Token: int64(token)})
+	_, err := o.at(address).Surrender(ctx, &durablepb.SurrenderRequest{Shard: uint32(shard), Token: int64(token)})
 	return err == nil || errors.Is(err, syscall.ECONNREFUSED)
 }
 
 // toAnswer returns an owner's answer. A request that was surely not sent is one to nobody.
-func toAnswer(answer *keeppb.Answer, err error) Answer {
+func toAnswer(answer *durablepb.Answer, err error) Answer {
 	var dial *net.OpError
 	switch {
 	case err == nil:
@@ -104,35 +104,35 @@
 
 // NewServer returns the handler of what other entries ask.
 func NewServer(asked Asked) http.Handler {
-	return keeppb.NewKeepServer(&Server{asked: asked})
+	return durablepb.NewKeepServer(&Server{asked: asked})
 }
 
 // Submit takes a job from another entry.
-func (s *Server) Submit(ctx context.Context, packed *keeppb.Job) (*keeppb.Answer, error) {
+func (s *Server) Submit(ctx context.Context, packed *durablepb.Job) (*durablepb.Answer, error) {
 	job := UnpackJob(packed)
 	return PackAnswer(s.asked.AskHere(ctx, func(w Waiter) Event { return Submitted{Job: job, Waiter: w} })), nil
 }
 
 // State tells the state of a job.
-func (s *Server) State(ctx context.Context, r *keeppb.JobRequest) (*keeppb.Answer, error) {
+func (s *Server) State(ctx context.Context, r *durablepb.JobRequest) (*durablepb.Answer, error) {
 	return PackAnswer(s.asked.AskHere(ctx, func(w Waiter) Event { return StateAsked{Job: r.Id, Waiter: w} })), nil
 }
 
 // Cancel ends a job.
-func (s *Server) Cancel(ctx context.Context, r *keeppb.JobRequest) (*keeppb.Answer, error) {
+func (s *Server) Cancel(ctx context.Context, r *durablepb.JobRequest) (*durablepb.Answer, error) {
 	return PackAnswer(s.asked.AskHere(ctx, func(w Waiter) Event { return CancelAsked{Job: r.Id, Waiter: w} })), nil
 }
 
 // Pending counts jobs that have not begun.
-func (s *Server) Pending(ctx context.Context, r *keeppb.PendingRequest) (*keeppb.PendingResponse, error) {
+func (s *Server) Pending(ctx context.Context, r *durablepb.PendingRequest) (*durablepb.PendingResponse, error) {
 	jobs, isComplete := s.asked.PendingHere(ctx, r.Kind)
-	return &keeppb.PendingResponse{Jobs: uint32(jobs), Incomplete: !isComplete}, nil
+	return &durablepb.PendingResponse{Jobs: uint32(jobs), Incomplete: !isComplete}, nil
 }
 
 // Surrender gives a shard up.
-func (s *Server) Surrender(ctx context.Context, r *keeppb.SurrenderRequest) (*keeppb.SurrenderResponse, error) {
+func (s *Server) Surrender(ctx context.Context, r *durablepb.SurrenderRequest) (*durablepb.SurrenderResponse, error) {
 	if r.Shard < Shards {
 		s.asked.SurrenderHere(ctx, Shard(r.Shard), Token(r.Token))
 	}
-	return &keeppb.SurrenderResponse{}, nil
+	return &durablepb.SurrenderResponse{}, nil
 }
--- a/internal/keep/random_test.go
+++ b/internal/durable/random_test.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"flag"
--- a/internal/keep/record.go
+++ b/internal/durable/record.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"fmt"
@@ -11,19 +11,19 @@
 	"google.golang.org/protobuf/proto"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep/keeppb"
+	"sailhead/internal/durable/durablepb"
 	"sailhead/internal/worker"
 )
 
 // PackJob returns a job as it is kept.
-func PackJob(j dispatch.Job) *keeppb.Job {
-	packed := &keeppb.Job{
+func PackJob(j dispatch.Job) *durablepb.Job {
+	packed := &durablepb.Job{
 		Id: j.ID, Kind: j.Kind.Name, Service: j.Kind.Service, Payload: j.Payload, Stretch: j.Kind.Stretch,
 		Priority: uint32(max(j.Kind.Priority, 0)), Attempts: uint32(max(j.Kind.Attempts, 0)),
 		TargetMs: uint32(max(j.Kind.Target.Milliseconds(), 0)),
 	}
 	for _, s := range j.Steps {
-		step := &keeppb.Step{
+		step := &durablepb.Step{
 			Count: uint32(s.Count), Cpu: uint32(s.Needs.CPU), Memory: uint32(s.Needs.Memory), Gpu: uint32(s.Needs.GPU),
 			ExpectedMs: uint32(s.Expected.Milliseconds()), Label: s.Label, Rack: s.Rack, PerWorker: uint32(s.PerWorker),
 		}
@@ -36,7 +36,7 @@
 }
 
 // UnpackJob returns a job that was kept.
-func UnpackJob(packed *keeppb.Job) dispatch.Job {
+func UnpackJob(packed *durablepb.Job) dispatch.Job {
 	j := dispatch.Job{ID: packed.Id, Payload: packed.Payload, Kind: dispatch.Kind{
 		Name: packed.Kind, Service: packed.Service, Priority: int(packed.Priority), Attempts: int(packed.Attempts),
 		Stretch: packed.Stretch, Target: time.Duration(packed.TargetMs) * time.Millisecond,
@@ -66,30 +66,30 @@
 }
 
 // encodeBatch returns the records of one commit as they lie in the store.
-func encodeBatch(records []*keeppb.Record) []byte {
-	data, err := proto.Marshal(&keeppb.Batch{Records: records})
+func encodeBatch(records []*durablepb.Record) []byte {
+	data, err := proto.Marshal(&durablepb.Batch{Records: records})
 	if err != nil {
 		// Only texts that are no UTF-8 cannot be encoded; callers' bodies are JSON, whose texts always are.
-		panic(fmt.Sprintf("keep: unable to encode a batch: %s", err))
+		panic(fmt.Sprintf("durable: unable to encode a batch: %s", err))
 	}
 	return data
 }
 
-func decodeBatch(data []byte) ([]*keeppb.Record, error) {
-	var batch keeppb.Batch
+func decodeBatch(data []byte) ([]*durablepb.Record, error) {
+	var batch durablepb.Batch
 	if err := proto.Unmarshal(data, &batch); err != nil {
-		return nil, errors.Wrap(err, "keep: unable to read a batch")
+		return nil, errors.Wrap(err, "durable: unable to read a batch")
 	}
 	return batch.Records, nil
 }
 
-var stateToPB = map[State]keeppb.State{
-	StateQueued: keeppb.State_STATE_QUEUED, StateRunning: keeppb.State_STATE_RUNNING,
-	StateCompleted: keeppb.State_STATE_COMPLETED, StateFailed: keeppb.State_STATE_FAILED,
-	StateCancelled: keeppb.State_STATE_CANCELLED,
+var stateToPB = map[State]durablepb.State{
+	StateQueued: durablepb.State_STATE_QUEUED, StateRunning: durablepb.State_STATE_RUNNING,
+	StateCompleted: durablepb.State_STATE_COMPLETED, StateFailed: durablepb.State_STATE_FAILED,
+	StateCancelled: durablepb.State_STATE_CANCELLED,
 }
 
-func stateFromPB(packed keeppb.State) State {
+func stateFromPB(packed durablepb.State) State {
 	for state, each := range stateToPB {
 		if each == packed {
 			return state
@@ -99,33 +99,33 @@
 }
 
 // PackAnswer returns an answer as entries tell it each other.
-func PackAnswer(answer Answer) *keeppb.Answer {
+func PackAnswer(answer Answer) *durablepb.Answer {
 	switch a := answer.(type) {
 	case Known:
-		return &keeppb.Answer{Status: keeppb.Status_STATUS_KNOWN, State: stateToPB[a.State]}
+		return &durablepb.Answer{Status: durablepb.Status_STATUS_KNOWN, State: stateToPB[a.State]}
 	case Unknown:
-		return &keeppb.Answer{Status: keeppb.Status_STATUS_UNKNOWN}
+		return &durablepb.Answer{Status: durablepb.Status_STATUS_UNKNOWN}
 	case NotOwner:
-		return &keeppb.Answer{Status: keeppb.Status_STATUS_NOT_OWNER}
+		return &durablepb.Answer{Status: durablepb.Status_STATUS_NOT_OWNER}
 	case Refused:
-		return &keeppb.Answer{Status: keeppb.Status_STATUS_REFUSED, Reason: a.Reason}
+		return &durablepb.Answer{Status: durablepb.Status_STATUS_REFUSED, Reason: a.Reason}
 	case InDoubt:
-		return &keeppb.Answer{Status: keeppb.Status_STATUS_IN_DOUBT, Reason: a.Reason}
+		return &durablepb.Answer{Status: durablepb.Status_STATUS_IN_DOUBT, Reason: a.Reason}
 	default:
-		return &keeppb.Answer{Status: keeppb.Status_STATUS_IN_DOUBT, Reason: "no answer"}
+		return &durablepb.Answer{Status: durablepb.Status_STATUS_IN_DOUBT, Reason: "no answer"}
 	}
 }
 
 // UnpackAnswer returns the answer that another entry told.
-func UnpackAnswer(packed *keeppb.Answer) Answer {
+func UnpackAnswer(packed *durablepb.Answer) Answer {
 	switch packed.Status {
-	case keeppb.Status_STATUS_KNOWN:
+	case durablepb.Status_STATUS_KNOWN:
 		return Known{State: stateFromPB(packed.State)}
-	case keeppb.Status_STATUS_UNKNOWN:
+	case durablepb.Status_STATUS_UNKNOWN:
 		return Unknown{}
-	case keeppb.Status_STATUS_NOT_OWNER:
+	case durablepb.Status_STATUS_NOT_OWNER:
 		return NotOwner{}
-	case keeppb.Status_STATUS_REFUSED:
+	case durablepb.Status_STATUS_REFUSED:
 		return Refused{Reason: packed.Reason}
 	default:
 		return InDoubt{Reason: packed.Reason}
--- a/internal/keep/requests.go
+++ b/internal/durable/requests.go
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"slices"
 	"time"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep/keeppb"
+	"sailhead/internal/durable/durablepb"
 )
 
 // submit takes a job in; the answer waits until that is written. The same job again is met.
@@ -29,7 +29,7 @@
 		j.waiters = []Waiter{e.Waiter}
 		s.jobs[j.id] = j
 		s.open++
-		s.add(j, &keeppb.Record{Record: &keeppb.Record_Accepted{Accepted: PackJob(e.Job)}})
+		s.add(j, &durablepb.Record{Record: &durablepb.Record_Accepted{Accepted: PackJob(e.Job)}})
 	}
 }
 
--- a/internal/keep/shard.go
+++ b/internal/durable/shard.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package keep
+package durable
 
 import (
 	"time"
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep/keeppb"
+	"sailhead/internal/durable/durablepb"
 )
 
 // ownership is how far a shard is owned here.
@@ -40,7 +40,7 @@
 	// tried is when a claim or a reading was last begun.
 	tried time.Time
 	// previous is the latest record of an owner, and owned the batch that holds it.
-	previous *keeppb.Owned
+	previous *durablepb.Owned
 	owned    Sequence
 	next     Sequence
 	jobs     map[string]*job
@@ -58,7 +58,7 @@
 
 // change is a record that is to be written, and what is to be done then.
 type change struct {
-	record  *keeppb.Record
+	record  *durablepb.Record
 	job     *job
 	effects []Effect
 }
@@ -82,7 +82,7 @@
 func (s *shard) isLoaded() bool { return s.state >= asking }
 
 // add queues a change. What a job still has queued is replaced: its newest record tells all.
-func (s *shard) add(j *job, record *keeppb.Record, effects ...Effect) {
+func (s *shard) add(j *job, record *durablepb.Record, effects ...Effect) {
 	if j != nil && j.queued != nil && j.queued.record.GetAccepted() == nil {
 		j.queued.record = record
 		j.queued.effects = append(j.queued.effects, effects...)
@@ -131,13 +131,13 @@
 }
 
 // apply takes in a record that is written in a batch, and returns its job.
-func (s *shard) apply(now time.Time, record *keeppb.Record, at Sequence) *job {
+func (s *shard) apply(now time.Time, record *durablepb.Record, at Sequence) *job {
 	switch r := record.Record.(type) {
-	case *keeppb.Record_Owned:
+	case *durablepb.Record_Owned:
 		s.ref(at)
 		s.unref(s.owned)
 		s.owned, s.previous = at, r.Owned
-	case *keeppb.Record_Accepted:
+	case *durablepb.Record_Accepted:
 		j, ok := s.jobs[r.Accepted.Id]
 		if !ok {
 			j = newJob(UnpackJob(r.Accepted))
@@ -147,14 +147,14 @@
 		s.ref(at)
 		j.accepted, j.written = at, max(j.written, StateQueued)
 		return j
-	case *keeppb.Record_Progress:
+	case *durablepb.Record_Progress:
 		if j, ok := s.jobs[r.Progress.Id]; ok {
 			s.ref(at)
 			s.unref(j.progress)
 			j.progress = at
 			return j
 		}
-	case *keeppb.Record_Ended:
+	case *durablepb.Record_Ended:
 		j, ok := s.jobs[r.Ended.Id]
 		if !ok {
 			// The batch that held its acceptance is removed already.
@@ -208,7 +208,7 @@
 	return nil
 }
 
-func (j *job) restoreProgress(progress *keeppb.Progress) {
+func (j *job) restoreProgress(progress *durablepb.Progress) {
 	j.done = make(map[uint32]bool)
 	for _, task := range progress.Done {
 		j.done[task] = true
--- a/internal/frontend/agents.go
+++ b/internal/entry/agents.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package frontend
+package entry
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"sailhead/internal/cluster"
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep"
+	"sailhead/internal/durable"
 	"sailhead/internal/runner"
 	"sailhead/internal/session"
 	"sailhead/internal/worker"
@@ -34,9 +34,9 @@
 
 // agentSession is the session with one agent; it hands what the agent says to the dispatcher.
 type agentSession struct {
-	frontend *Frontend
-	id       dispatch.AgentID
-	toAgent  *session.ToAgent
+	entry   *Frontend
+	id      dispatch.AgentID
+	toAgent *session.ToAgent
 	// heard is when the agent was last heard, in nanoseconds since the epoch of the process's steady clock.
 	heard atomic.Int64
 	// incarnation is that of the agent's process; 0 until it says so.
@@ -59,21 +59,21 @@
 
 // Worker hands on the description of the worker.
 func (s *agentSession) Worker(record worker.Record) {
-	s.frontend.post(dispatch.WorkerSeen{Agent: s.id, Record: record})
+	s.entry.post(dispatch.WorkerSeen{Agent: s.id, Record: record})
 }
 
 // Load hands on the load of the worker.
 func (s *agentSession) Load(handled uint64, load runner.Load) {
-	s.frontend.post(dispatch.LoadSeen{Agent: s.id, Handled: handled, Load: load})
+	s.entry.post(dispatch.LoadSeen{Agent: s.id, Handled: handled, Load: load})
 }
 
 // Update hands on what became of a run.
 func (s *agentSession) Update(update runner.Update) {
 	if update.Unnoted {
-		s.frontend.postKeep(keep.TaskEnded{Agent: s.id, Update: update})
+		s.entry.postKeep(durable.TaskEnded{Agent: s.id, Update: update})
 		return
 	}
-	s.frontend.post(dispatch.RunUpdated{Agent: s.id, Update: update})
+	s.entry.post(dispatch.RunUpdated{Agent: s.id, Update: update})
 }
 
 // connect keeps a goroutine for each agent in the directory.
@@ -162,7 +162,7 @@
 }
 
 func (f *Frontend) serveSession(ctx context.Context, m cluster.Member, toAgent *session.ToAgent) error {
-	s := &agentSession{frontend: f, id: dispatch.AgentID(m.Name), toAgent: toAgent}
+	s := &agentSession{entry: f, id: dispatch.AgentID(m.Name), toAgent: toAgent}
 	s.Heard()
 	stop := context.AfterFunc(ctx, toAgent.Close)
 	defer stop()
--- a/internal/frontend/frontend.go
+++ b/internal/entry/entry.go
@@ -1,9 +1,9 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package frontend runs an entry: it gives the dispatcher its goroutines and connects it with callers, agents,
+// Package entry runs an entry: it gives the dispatcher its goroutines and connects it with callers, agents,
 // other entries and the platform's store.
-package frontend
+package entry
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 	"sailhead/internal/cluster"
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep"
+	"sailhead/internal/durable"
 	"sailhead/internal/logging"
 	"sailhead/internal/metric"
 	"sailhead/internal/session"
@@ -69,12 +69,12 @@
 	answerTimes    *metric.Times
 	queueTimes     *metric.Times
 	dispatcher     *dispatch.Dispatcher
-	keeper         *keep.Keeper
-	owners         *keep.Owners
+	keeper         *durable.Keeper
+	owners         *durable.Owners
 	logger         log.Logger
 	metrics        *metric.Set
 	events         chan dispatch.Event
-	keepEvents     chan keep.Event
+	keepEvents     chan durable.Event
 	context        context.Context
 	cancel         context.CancelFunc
 	duties         sync.WaitGroup
@@ -86,8 +86,8 @@
 	waiters map[dispatch.Waiter]chan dispatch.Answer
 	// keptWaiters are the requests that wait for the keeper; claims and ownerAddresses tell who owns the shards, and
 	// keptSeen that jobs that must be kept were ever known.
-	keptWaiters    map[keep.Waiter]chan keep.Answer
-	claims         [keep.Shards]*keep.Claim
+	keptWaiters    map[durable.Waiter]chan durable.Answer
+	claims         [durable.Shards]*durable.Claim
 	ownerAddresses []string
 	keptSeen       bool
 	// storeHeard is when the store last told its changes.
@@ -110,14 +110,14 @@
 		directory:  cluster.NewDirectory(),
 		dispatcher: dispatch.New(dispatch.Limits{Jobs: settings.Jobs}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		events:     make(chan dispatch.Event, settings.Ring),
-		keepEvents: make(chan keep.Event, settings.Ring),
+		keepEvents: make(chan durable.Event, settings.Ring),
 		waiters:    make(map[dispatch.Waiter]chan dispatch.Answer),
 		sessions:   make(map[dispatch.AgentID]*agentSession),
 
-		keptWaiters: make(map[keep.Waiter]chan keep.Answer),
+		keptWaiters: make(map[durable.Waiter]chan durable.Answer),
 	}
 	f.keeper = f.newKeeper()
-	owners, closeOwners := keep.NewOwners()
+	owners, closeOwners := durable.NewOwners()
 	f.owners = owners
 	f.dependencies = newDependencies(f.logger)
 	f.successes = logging.NewLimited(level.Info(f.logger), successLines)
@@ -160,7 +160,7 @@
 	events := make([]dispatch.Event, 0, batchSize)
 	for {
 		events = events[:0]
-		var kept keep.Event
+		var kept durable.Event
 		select {
 		case <-f.context.Done():
 			return
@@ -169,7 +169,7 @@
 		case kept = <-f.keepEvents:
 		case <-ticker.C:
 			events = append(events, dispatch.Ticked{})
-			kept = keep.Ticked{KeptRuns: f.dispatcher.KeptRuns(time.Now())}
+			kept = durable.Ticked{KeptRuns: f.dispatcher.KeptRuns(time.Now())}
 		}
 		// A process that was frozen gives up what it may own no longer before it acts on what waits.
 		f.carryKept(f.keeper.Expire(time.Now()))
@@ -237,9 +237,9 @@
 			s.Stop(e.Name)
 		}
 	case dispatch.KeepEnd:
-		f.keep(keep.TaskEnded{Agent: e.Agent, Update: e.Update})
+		f.keep(durable.TaskEnded{Agent: e.Agent, Update: e.Update})
 	case dispatch.TellBegun:
-		f.keep(keep.JobBegun{Job: e.Job})
+		f.keep(durable.JobBegun{Job: e.Job})
 	case dispatch.Note:
 		f.log(e)
 	}
--- a/internal/frontend/kept.go
+++ b/internal/entry/kept.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package frontend
+package entry
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"sailhead/internal/keep"
+	"sailhead/internal/durable"
 	"sailhead/internal/metric"
 )
 
@@ -17,15 +17,15 @@
 // tells what came of them.
 type KeepStore interface {
 	// Lease asks for a lease, or renews the one given.
-	Lease(lease keep.Lease, time time.Duration) keep.LeaseResult
+	Lease(lease durable.Lease, time time.Duration) durable.LeaseResult
 	// EndLease ends a lease; an answer is not waited for long.
-	EndLease(lease keep.Lease)
+	EndLease(lease durable.Lease)
 	// Claim writes a claim if the shard has none.
-	Claim(claim keep.Claim) keep.ClaimResult
+	Claim(claim durable.Claim) durable.ClaimResult
 	// LoadShard reads the batches of a shard in order.
-	LoadShard(shard keep.Shard) ([]keep.StoredBatch, error)
+	LoadShard(shard durable.Shard) ([]durable.StoredBatch, error)
 	// Commit writes all parts of a commit, or nothing.
-	Commit(commit keep.Commit) keep.CommitResult
+	Commit(commit durable.Commit) durable.CommitResult
 }
 
 const (
@@ -42,14 +42,14 @@
 )
 
 // newKeeper returns the keeper of an entry.
-func (f *Frontend) newKeeper() *keep.Keeper {
-	self := keep.Claim{Owner: f.self.Name, Address: f.self.Address, Incarnation: f.self.Incarnation}
-	return keep.New(self, keep.Limits{
+func (f *Frontend) newKeeper() *durable.Keeper {
+	self := durable.Claim{Owner: f.self.Name, Address: f.self.Address, Incarnation: f.self.Incarnation}
+	return durable.New(self, durable.Limits{
 		Jobs: f.settings.Jobs, StatusTime: statusTime, LeaseTime: leaseTime, Commits: f.settings.StoreWrites / commitShare,
 	})
 }
 
-func (f *Frontend) postKeep(event keep.Event) {
+func (f *Frontend) postKeep(event durable.Event) {
 	select {
 	case f.keepEvents <- event:
 	case <-f.context.Done():
@@ -57,21 +57,21 @@
 }
 
 // keep gives the keeper an event and does what it wants done.
-func (f *Frontend) keep(event keep.Event) {
+func (f *Frontend) keep(event durable.Event) {
 	f.carryKept(f.keeper.Handle(time.Now(), event))
 }
 
 // carryKept does what the keeper wants done. Calls to the store and to other entries are made beside.
-func (f *Frontend) carryKept(effects []keep.Effect) {
+func (f *Frontend) carryKept(effects []durable.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case keep.Reply:
+		case durable.Reply:
 			f.answerKept(e.Waiter, e.Answer)
-		case keep.ToDispatcher:
+		case durable.ToDispatcher:
 			f.dispatch(e.Event)
-		case keep.NoteEnd:
+		case durable.NoteEnd:
 			f.noteEnd(e)
-		case keep.Note:
+		case durable.Note:
 			f.logKept(e)
 		default:
 			go f.callKept(effect)
@@ -80,42 +80,42 @@
 }
 
 // callKept makes one call and posts what came of it.
-func (f *Frontend) callKept(effect keep.Effect) {
+func (f *Frontend) callKept(effect durable.Effect) {
 	switch e := effect.(type) {
-	case keep.CallLease:
+	case durable.CallLease:
 		asked := time.Now()
-		f.postKeep(keep.LeaseAnswered{Lease: e.Lease, Asked: asked, Result: f.settings.Keep.Lease(e.Lease, e.Time)})
-	case keep.EndLease:
+		f.postKeep(durable.LeaseAnswered{Lease: e.Lease, Asked: asked, Result: f.settings.Keep.Lease(e.Lease, e.Time)})
+	case durable.EndLease:
 		f.settings.Keep.EndLease(e.Lease)
-	case keep.CallClaim:
-		f.postKeep(keep.ClaimAnswered{Shard: e.Claim.Shard, Lease: e.Claim.Lease, Result: f.settings.Keep.Claim(e.Claim)})
-	case keep.Load:
+	case durable.CallClaim:
+		f.postKeep(durable.ClaimAnswered{Shard: e.Claim.Shard, Lease: e.Claim.Lease, Result: f.settings.Keep.Claim(e.Claim)})
+	case durable.Load:
 		batches, err := f.settings.Keep.LoadShard(e.Shard)
-		f.postKeep(keep.Loaded{Shard: e.Shard, Token: e.Token, Batches: batches, Err: err})
-	case keep.Commit:
+		f.postKeep(durable.Loaded{Shard: e.Shard, Token: e.Token, Batches: batches, Err: err})
+	case durable.Commit:
 		f.metrics.Add(metric.Commits, 1)
-		f.postKeep(keep.Committed{Number: e.Number, Result: f.settings.Keep.Commit(e)})
-	case keep.CallSurrender:
+		f.postKeep(durable.Committed{Number: e.Number, Result: f.settings.Keep.Commit(e)})
+	case durable.CallSurrender:
 		isSure := f.owners.Surrender(f.context, e.Address, e.Shard, e.Token)
-		f.postKeep(keep.Surrendered{Shard: e.Shard, Token: e.Token, IsSure: isSure})
+		f.postKeep(durable.Surrendered{Shard: e.Shard, Token: e.Token, IsSure: isSure})
 	}
 }
 
-func (f *Frontend) noteEnd(e keep.NoteEnd) {
+func (f *Frontend) noteEnd(e durable.NoteEnd) {
 	if s := f.session(e.Agent); s != nil {
 		s.Noted(e.Name, e.Run)
 	}
 }
 
-func (f *Frontend) logKept(n keep.Note) {
+func (f *Frontend) logKept(n durable.Note) {
 	shards, jobs := f.keeper.Counts()
 	_ = level.Info(f.logger).Log("msg", n.Decision, "shard", n.Shard, "token", n.Token, "detail", n.Detail, "shards", shards, "kept_jobs", jobs)
 }
 
 // AskHere posts an event with a waiter and waits for the answer.
-func (f *Frontend) AskHere(ctx context.Context, event func(keep.Waiter) keep.Event) keep.Answer {
-	waiter := keep.Waiter(f.nextWaiter.Add(1))
-	answered := make(chan keep.Answer, 1)
+func (f *Frontend) AskHere(ctx context.Context, event func(durable.Waiter) durable.Event) durable.Answer {
+	waiter := durable.Waiter(f.nextWaiter.Add(1))
+	answered := make(chan durable.Answer, 1)
 	f.mu.Lock()
 	f.keptWaiters[waiter] = answered
 	f.mu.Unlock()
@@ -129,15 +129,15 @@
 	case answer := <-answered:
 		return answer
 	case <-time.After(keptWait):
-		return keep.InDoubt{Reason: "the store does not answer"}
+		return durable.InDoubt{Reason: "the store does not answer"}
 	case <-ctx.Done():
-		return keep.InDoubt{Reason: "the caller has left"}
+		return durable.InDoubt{Reason: "the caller has left"}
 	case <-f.context.Done():
-		return keep.InDoubt{Reason: "the entry has stopped"}
+		return durable.InDoubt{Reason: "the entry has stopped"}
 	}
 }
 
-func (f *Frontend) answerKept(waiter keep.Waiter, answer keep.Answer) {
+func (f *Frontend) answerKept(waiter durable.Waiter, answer durable.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if answered, ok := f.keptWaiters[waiter]; ok {
--- a/internal/frontend/news.go
+++ b/internal/entry/news.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package frontend
+package entry
 
 import (
 	"math/rand/v2"
@@ -12,7 +12,7 @@
 	"github.com/go-kit/log/level"
 
 	"sailhead/internal/cluster"
-	"sailhead/internal/keep"
+	"sailhead/internal/durable"
 )
 
 // Store is the platform's store as an entry sees it.
@@ -34,8 +34,8 @@
 	Document []byte
 	Members  []cluster.Member
 	// Claims are the claims of shards, and Gone those that are there no longer.
-	Claims []keep.Claim
-	Gone   []keep.ClaimGone
+	Claims []durable.Claim
+	Gone   []durable.ClaimGone
 	// HasKept is set if there were ever jobs that must be kept.
 	HasKept bool
 }
@@ -48,9 +48,9 @@
 	headerTimeout    = 5 * time.Second
 )
 
-func servePeers(listener net.Listener, exchanger *cluster.Exchanger, asked keep.Asked) func() {
+func servePeers(listener net.Listener, exchanger *cluster.Exchanger, asked durable.Asked) func() {
 	mux := http.NewServeMux()
-	mux.Handle(keep.PathPrefix, keep.NewServer(asked))
+	mux.Handle(durable.PathPrefix, durable.NewServer(asked))
 	mux.Handle("/", exchanger.Handler())
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: time.Minute}
 	go func() { _ = server.Serve(listener) }()
@@ -83,7 +83,7 @@
 		f.takeNews(news)
 		f.takeClaims(news)
 		if current && !wasCurrent {
-			f.postKeep(keep.StoreRead{Kept: news.HasKept})
+			f.postKeep(durable.StoreRead{Kept: news.HasKept})
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	f.storeHeard = time.Now()
 	f.mu.Unlock()
 	for _, claim := range news.Claims {
-		f.postKeep(keep.ClaimSeen{Claim: claim})
+		f.postKeep(durable.ClaimSeen{Claim: claim})
 	}
 	for _, gone := range news.Gone {
 		f.postKeep(gone)
@@ -107,7 +107,7 @@
 	f.keptSeen = true
 	f.mu.Unlock()
 	if first {
-		f.postKeep(keep.OwnerWanted{})
+		f.postKeep(durable.OwnerWanted{})
 	}
 }
 
@@ -131,7 +131,7 @@
 			_ = level.Info(f.logger).Log("msg", "member", "name", m.Name, "role", m.Role, "address", m.Address)
 		}
 	}
-	f.postKeep(keep.EntriesSeen{Names: f.entryNames()})
+	f.postKeep(durable.EntriesSeen{Names: f.entryNames()})
 	if len(news.Document) == 0 {
 		return
 	}
--- a/internal/frontend/owners.go
+++ b/internal/entry/owners.go
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package frontend
+package entry
 
 import (
 	"context"
 	"time"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep"
+	"sailhead/internal/durable"
 	"sailhead/internal/metric"
 )
 
@@ -19,17 +19,17 @@
 )
 
 // askOwner asks the owner of a job's shard, here or at another entry, until one answers for it.
-func (f *Frontend) askOwner(ctx context.Context, job string, here func(keep.Waiter) keep.Event, there func(context.Context, string) keep.Answer) keep.Answer {
+func (f *Frontend) askOwner(ctx context.Context, job string, here func(durable.Waiter) durable.Event, there func(context.Context, string) durable.Answer) durable.Answer {
 	deadline := time.Now().Add(ownerWait)
 	for {
-		var answer keep.Answer = keep.NotOwner{}
+		var answer durable.Answer = durable.NotOwner{}
 		switch claim, ok := f.ownerOf(job); {
 		case ok && claim.Owner == f.self.Name:
 			answer = f.AskHere(ctx, here)
 		case ok:
 			answer = there(ctx, claim.Address)
 		}
-		if _, isNotOwner := answer.(keep.NotOwner); !isNotOwner || time.Now().After(deadline) || !f.pause(ownerPause) {
+		if _, isNotOwner := answer.(durable.NotOwner); !isNotOwner || time.Now().After(deadline) || !f.pause(ownerPause) {
 			return answer
 		}
 	}
@@ -38,9 +38,9 @@
 // publishOwners lets other goroutines see who owns what.
 func (f *Frontend) publishOwners() {
 	owners := f.keeper.Owners()
-	var claims [keep.Shards]*keep.Claim
+	var claims [durable.Shards]*durable.Claim
 	for shard := range claims {
-		if claim, ok := f.keeper.OwnerOf(keep.Shard(shard)); ok {
+		if claim, ok := f.keeper.OwnerOf(durable.Shard(shard)); ok {
 			claims[shard] = &claim
 		}
 	}
@@ -49,23 +49,23 @@
 	f.claims, f.ownerAddresses = claims, owners
 }
 
-func (f *Frontend) ownerOf(job string) (keep.Claim, bool) {
+func (f *Frontend) ownerOf(job string) (durable.Claim, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if claim := f.claims[keep.ShardOf(job)]; claim != nil {
+	if claim := f.claims[durable.ShardOf(job)]; claim != nil {
 		return *claim, true
 	}
-	return keep.Claim{}, false
+	return durable.Claim{}, false
 }
 
 // SubmitKept hands a job that must be kept to its owner and returns what it says.
-func (f *Frontend) SubmitKept(ctx context.Context, job dispatch.Job) keep.Answer {
+func (f *Frontend) SubmitKept(ctx context.Context, job dispatch.Job) durable.Answer {
 	f.metrics.Add(metric.JobsReceived, 1)
-	f.postKeep(keep.OwnerWanted{})
+	f.postKeep(durable.OwnerWanted{})
 	answer := f.askOwner(ctx, job.ID,
-		func(w keep.Waiter) keep.Event { return keep.Submitted{Job: job, Waiter: w} },
-		func(ctx context.Context, address string) keep.Answer { return f.owners.Submit(ctx, address, job) })
-	if known, ok := answer.(keep.Known); !ok {
+		func(w durable.Waiter) durable.Event { return durable.Submitted{Job: job, Waiter: w} },
+		func(ctx context.Context, address string) durable.Answer { return f.owners.Submit(ctx, address, job) })
+	if known, ok := answer.(durable.Known); !ok {
 		_ = f.others.Log("msg", "kept job not taken", "job", job.ID, "kind", job.Kind.Name, "answer", describeKept(answer))
 	} else {
 		f.metrics.Add(metric.JobsKept, 1)
@@ -75,17 +75,17 @@
 }
 
 // StateKept returns the state of a job that must be kept.
-func (f *Frontend) StateKept(ctx context.Context, id string) keep.Answer {
+func (f *Frontend) StateKept(ctx context.Context, id string) durable.Answer {
 	return f.askOwner(ctx, id,
-		func(w keep.Waiter) keep.Event { return keep.StateAsked{Job: id, Waiter: w} },
-		func(ctx context.Context, address string) keep.Answer { return f.owners.State(ctx, address, id) })
+		func(w durable.Waiter) durable.Event { return durable.StateAsked{Job: id, Waiter: w} },
+		func(ctx context.Context, address string) durable.Answer { return f.owners.State(ctx, address, id) })
 }
 
 // CancelKept ends a job that must be kept.
-func (f *Frontend) CancelKept(ctx context.Context, id string) keep.Answer {
+func (f *Frontend) CancelKept(ctx context.Context, id string) durable.Answer {
 	return f.askOwner(ctx, id,
-		func(w keep.Waiter) keep.Event { return keep.CancelAsked{Job: id, Waiter: w} },
-		func(ctx context.Context, address string) keep.Answer { return f.owners.Cancel(ctx, address, id) })
+		func(w durable.Waiter) durable.Event { return durable.CancelAsked{Job: id, Waiter: w} },
+		func(ctx context.Context, address string) durable.Answer { return f.owners.Cancel(ctx, address, id) })
 }
 
 // newsTime is how long what the store said holds: a watch is answered sooner.
@@ -151,7 +151,7 @@
 // PendingHere counts the jobs of a kind that are owned here and have not begun.
 func (f *Frontend) PendingHere(ctx context.Context, kind string) (jobs int, isComplete bool) {
 	counted := make(chan struct{})
-	f.postKeep(keep.PendingAsked{Kind: kind, Done: func(count int, complete bool) {
+	f.postKeep(durable.PendingAsked{Kind: kind, Done: func(count int, complete bool) {
 		jobs, isComplete = count, complete
 		close(counted)
 	}})
@@ -165,9 +165,9 @@
 }
 
 // SurrenderHere gives a shard up that another entry has claimed.
-func (f *Frontend) SurrenderHere(ctx context.Context, shard keep.Shard, token keep.Token) {
+func (f *Frontend) SurrenderHere(ctx context.Context, shard durable.Shard, token durable.Token) {
 	done := make(chan struct{})
-	f.postKeep(keep.SurrenderAsked{Shard: shard, Token: token, Done: func() { close(done) }})
+	f.postKeep(durable.SurrenderAsked{Shard: shard, Token: token, Done: func() { close(done) }})
 	select {
 	case <-done:
 	case <-ctx.Done():
@@ -175,17 +175,17 @@
 	}
 }
 
-func describeKept(answer keep.Answer) string {
+func describeKept(answer durable.Answer) string {
 	switch a := answer.(type) {
-	case keep.Known:
+	case durable.Known:
 		return "known"
-	case keep.Unknown:
+	case durable.Unknown:
 		return "unknown"
-	case keep.NotOwner:
+	case durable.NotOwner:
 		return "no owner"
-	case keep.Refused:
+	case durable.Refused:
 		return "refused: " + a.Reason
-	case keep.InDoubt:
+	case durable.InDoubt:
 		return "in doubt: " + a.Reason
 	default:
 		return ""
--- a/internal/frontend/submit.go
+++ b/internal/entry/submit.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-package frontend
+package entry
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/go-kit/log/level"
 
 	"sailhead/internal/dispatch"
-	"sailhead/internal/keep"
+	"sailhead/internal/durable"
 	"sailhead/internal/metric"
 )
 
@@ -114,7 +114,7 @@
 	f.leaving.Store(true)
 	until := time.Now().Add(f.settings.StopTimeout - stopMargin)
 	f.post(dispatch.LeaveAsked{Until: until})
-	f.postKeep(keep.LeaveAsked{Until: until.Add(-leaveMargin)})
+	f.postKeep(durable.LeaveAsked{Until: until.Add(-leaveMargin)})
 	_ = level.Info(f.logger).Log("msg", "stopping", "within", f.settings.StopTimeout)
 	return until
 }
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -4,11 +4,7 @@
 // Package metric counts what a process does, by expvar.
 package metric
 
-import (
-	"expvar"
-
-	"sailhead/internal/model"
-)
+import "expvar"
 
 // Set holds the counters of one process.
 type Set struct {
@@ -59,11 +55,6 @@
 	s.vars.Add(name, delta)
 }
 
-// CountAnswer counts a job by its answer.
-func (s *Set) CountAnswer(answer model.Answer) {
-	s.Add(JobsPrefix+model.Status(answer), 1)
-}
-
 // Set sets a gauge.
 func (s *Set) Set(name string, value int64) {
 	gauge := new(expvar.Int)
--- a/internal/admission/demand.go
+++ b/internal/native/admission/demand.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // leastPart is the least part of the slots that is counted on for a kind, however much more urgent ones use.
--- a/internal/backend/client.go
+++ b/internal/native/backend/client.go
@@ -13,8 +13,8 @@
 	"github.com/go-faster/errors"
 	"github.com/valyala/fasthttp"
 
-	"sailhead/internal/guard"
-	"sailhead/internal/model"
+	"sailhead/internal/native/guard"
+	"sailhead/internal/native/model"
 )
 
 // The protocol towards backend servers: POST PathTasks + service + "/" + kind with the payload as body.
--- a/internal/backendstandin/server.go
+++ b/internal/native/backendstandin/server.go
@@ -17,7 +17,7 @@
 	"github.com/go-faster/errors"
 	"github.com/valyala/fasthttp"
 
-	"sailhead/internal/backend"
+	"sailhead/internal/native/backend"
 )
 
 // The paths by which tests look at the stand-in and change it.
--- a/internal/caller/caller_test.go
+++ b/internal/native/caller/caller_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // fake answers jobs without a system behind it.
--- a/internal/caller/request.go
+++ b/internal/native/caller/request.go
@@ -13,7 +13,7 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 const (
--- a/internal/caller/response.go
+++ b/internal/native/caller/response.go
@@ -11,7 +11,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // response is the body of every answer.
--- a/internal/caller/server.go
+++ b/internal/native/caller/server.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fasthttp/expvarhandler"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // The paths of the API.
--- a/internal/configuration/change.go
+++ b/internal/native/configuration/change.go
@@ -10,7 +10,7 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // Change is one decision of an operator; the types below are all there are.
--- a/internal/configuration/configuration.go
+++ b/internal/native/configuration/configuration.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // HistoryLength is the number of past changes that a configuration keeps.
--- a/internal/daemon/cost_test.go
+++ b/internal/native/daemon/cost_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/backendstandin"
 	"sailhead/internal/logging"
-	"sailhead/internal/model"
-	"sailhead/internal/operator"
-	"sailhead/internal/platformstandin"
+	"sailhead/internal/native/backendstandin"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/operator"
+	"sailhead/internal/native/platformstandin"
 	"sailhead/internal/settings"
 )
 
--- a/internal/daemon/entry.go
+++ b/internal/native/daemon/entry.go
@@ -14,10 +14,10 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"sailhead/internal/caller"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/caller"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
+	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/settings"
 	"sailhead/internal/timeline"
 )
--- a/internal/daemon/guard_duty.go
+++ b/internal/native/daemon/guard_duty.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"sailhead/internal/guard"
 	"sailhead/internal/metric"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/guard"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
+	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/timeline"
 )
 
@@ -120,7 +120,7 @@
 
 func (d *guardDuty) record(kind timeline.Kind, task guard.Task, detail string) {
 	d.node.timeline.Add(timeline.Event{
-		Kind: kind, Trace: task.Trace, Submission: task.ID.Key, Task: int(task.ID.Index),
+		Kind: kind, Trace: task.Trace, Submission: string(task.ID.Key), Task: int(task.ID.Index),
 		Worker: d.node.self.Name, Detail: detail,
 	})
 }
--- a/internal/daemon/inspect.go
+++ b/internal/native/daemon/inspect.go
@@ -7,8 +7,7 @@
 	"context"
 	"time"
 
-	"sailhead/internal/model"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/timeline"
 )
 
@@ -34,7 +33,7 @@
 
 // Timeline returns the recorded events that match.
 func (i *inspector) Timeline(_ context.Context, request *peerpb.TimelineRequest) (*peerpb.TimelineResponse, error) {
-	filter := timeline.Filter{Submission: model.Key(request.GetSubmission()), Worker: request.GetWorker()}
+	filter := timeline.Filter{Submission: request.GetSubmission(), Worker: request.GetWorker()}
 	if since := request.GetSinceUnixNs(); since != 0 {
 		filter.Since = time.Unix(0, since)
 	}
@@ -46,7 +45,7 @@
 	for _, e := range events {
 		response.Events = append(response.Events, &peerpb.Event{
 			TimeUnixNs: e.Time.UnixNano(), Process: e.Process, Kind: string(e.Kind), Trace: e.Trace,
-			Submission: string(e.Submission), Task: int32(e.Task), Worker: e.Worker, Detail: e.Detail,
+			Submission: e.Submission, Task: int32(e.Task), Worker: e.Worker, Detail: e.Detail,
 		})
 	}
 	return response, nil
--- a/internal/daemon/node.go
+++ b/internal/native/daemon/node.go
@@ -16,14 +16,14 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/gossip"
 	"sailhead/internal/logging"
-	"sailhead/internal/membership"
 	"sailhead/internal/metric"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/platform"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/gossip"
+	"sailhead/internal/native/keyvalue"
+	"sailhead/internal/native/membership"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
 	"sailhead/internal/settings"
 	"sailhead/internal/timeline"
 )
@@ -86,7 +86,7 @@
 // connect makes the clients of the peers and the platform.
 func (n *node) connect() {
 	client, closePeers := peer.NewClient()
-	store, closePlatform := platform.NewClient(string(n.settings.PlatformAddress), n.settings.PlatformTimeout)
+	store, closePlatform := keyvalue.NewClient(string(n.settings.PlatformAddress), n.settings.PlatformTimeout)
 	n.client = client
 	n.cleanups = append(n.cleanups, closePlatform, closePeers)
 	seeds := make([]string, 0, len(n.settings.Seeds))
--- a/internal/daemon/owner_duty.go
+++ b/internal/native/daemon/owner_duty.go
@@ -9,13 +9,13 @@
 	"sync/atomic"
 	"time"
 
-	"sailhead/internal/guard"
 	"sailhead/internal/metric"
-	"sailhead/internal/model"
-	"sailhead/internal/owner"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/guard"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/owner"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
+	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/timeline"
 )
 
@@ -186,7 +186,7 @@
 	defer cancel()
 	d.node.metrics.Add(metric.FencesAsked, 1)
 	d.node.metrics.Add(metric.MessagesWasted, 2)
-	d.node.timeline.Add(timeline.Event{Kind: timeline.FenceAsked, Submission: e.Key, Task: timeline.NoTask, Detail: e.Entry.Name})
+	d.node.timeline.Add(timeline.Event{Kind: timeline.FenceAsked, Submission: string(e.Key), Task: timeline.NoTask, Detail: e.Entry.Name})
 	verdict, epoch, err := d.node.client.Fence(ctx, e.Entry, e.Key, d.node.self.ID, e.Epoch)
 	if err == nil {
 		d.node.catchUp(ctx, peer.Versions{Epoch: epoch}, e.Entry.Address)
@@ -201,5 +201,5 @@
 type ownerService struct{ duty *ownerDuty }
 
 func (d *ownerDuty) record(kind timeline.Kind, job model.Job, detail string) {
-	d.node.timeline.Add(timeline.Event{Kind: kind, Trace: job.Trace, Submission: job.Key, Task: timeline.NoTask, Detail: detail})
+	d.node.timeline.Add(timeline.Event{Kind: kind, Trace: job.Trace, Submission: string(job.Key), Task: timeline.NoTask, Detail: detail})
 }
--- a/internal/daemon/owner_service.go
+++ b/internal/native/daemon/owner_service.go
@@ -8,11 +8,11 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/model"
-	"sailhead/internal/owner"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/owner"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
+	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/timeline"
 )
 
--- a/internal/daemon/start_task.go
+++ b/internal/native/daemon/start_task.go
@@ -7,12 +7,12 @@
 	"context"
 	"time"
 
-	"sailhead/internal/guard"
 	"sailhead/internal/metric"
-	"sailhead/internal/model"
-	"sailhead/internal/owner"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
+	"sailhead/internal/native/guard"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/owner"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
 	"sailhead/internal/timeline"
 )
 
@@ -119,6 +119,6 @@
 		worker = member.Name
 	}
 	d.node.timeline.Add(timeline.Event{
-		Kind: kind, Trace: task.Trace, Submission: task.ID.Key, Task: int(task.ID.Index), Worker: worker, Detail: detail,
+		Kind: kind, Trace: task.Trace, Submission: string(task.ID.Key), Task: int(task.ID.Index), Worker: worker, Detail: detail,
 	})
 }
--- a/internal/daemon/submit.go
+++ b/internal/native/daemon/submit.go
@@ -10,13 +10,13 @@
 	"github.com/go-faster/errors"
 	"github.com/twitchtv/twirp"
 
-	"sailhead/internal/configuration"
 	"sailhead/internal/metric"
-	"sailhead/internal/model"
-	"sailhead/internal/owner"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/owner"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
+	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/timeline"
 )
 
@@ -47,7 +47,7 @@
 		// The deadline lay ahead when the caller sent the job, so the request was not wrong.
 		answer = model.Failed{Reason: "the deadline passed before the owner took the job", MayHaveRun: true, TimedOut: true}
 	}
-	e.metrics.CountAnswer(answer)
+	e.metrics.Add(metric.JobsPrefix+model.Status(answer), 1)
 	e.record(timeline.JobAnswered, job, model.Status(answer))
 	return answer
 }
@@ -239,7 +239,7 @@
 }
 
 func (e *Entry) record(kind timeline.Kind, job model.Job, detail string) {
-	e.timeline.Add(timeline.Event{Kind: kind, Trace: job.Trace, Submission: job.Key, Task: timeline.NoTask, Detail: detail})
+	e.timeline.Add(timeline.Event{Kind: kind, Trace: job.Trace, Submission: string(job.Key), Task: timeline.NoTask, Detail: detail})
 }
 
 // forwarderService serves other processes.
@@ -272,7 +272,7 @@
 		response.BoundTo = string(v.Owner)
 	case ownership.CannotTell:
 	}
-	e.timeline.Add(timeline.Event{Kind: timeline.FenceGiven, Submission: key, Task: timeline.NoTask, Detail: request.GetOwner()})
+	e.timeline.Add(timeline.Event{Kind: timeline.FenceGiven, Submission: string(key), Task: timeline.NoTask, Detail: request.GetOwner()})
 	return response, nil
 }
 
--- a/internal/daemon/watch.go
+++ b/internal/native/daemon/watch.go
@@ -7,8 +7,8 @@
 	"context"
 	"time"
 
-	"sailhead/internal/membership"
-	"sailhead/internal/ownership"
+	"sailhead/internal/native/membership"
+	"sailhead/internal/native/ownership"
 )
 
 // watch probes a process that owes an answer and is silent, until the returned function is called.
--- a/internal/demo/cluster.go
+++ b/internal/native/demo/cluster.go
@@ -11,11 +11,11 @@
 	"github.com/go-faster/errors"
 	"github.com/go-kit/log"
 
-	"sailhead/internal/backendstandin"
-	"sailhead/internal/daemon"
 	"sailhead/internal/metric"
-	"sailhead/internal/operator"
-	"sailhead/internal/platformstandin"
+	"sailhead/internal/native/backendstandin"
+	"sailhead/internal/native/daemon"
+	"sailhead/internal/native/operator"
+	"sailhead/internal/native/platformstandin"
 	"sailhead/internal/settings"
 )
 
--- a/internal/demo/load.go
+++ b/internal/native/demo/load.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // mix is one kind of job with its share and its largest number of tasks.
--- a/internal/demo/report.go
+++ b/internal/native/demo/report.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // ratioScale is the number of histogram units in a ratio of 1.
--- a/internal/gossip/exchange.go
+++ b/internal/native/gossip/exchange.go
@@ -12,10 +12,10 @@
 	"github.com/go-kit/log/level"
 
 	"sailhead/internal/metric"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 // sampledLoads is the largest number of loads in one message.
--- a/internal/gossip/news.go
+++ b/internal/native/gossip/news.go
@@ -12,10 +12,10 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 // WholeDocument is a version that asks for the whole configuration instead of the latest changes.
--- a/internal/gossip/size_test.go
+++ b/internal/native/gossip/size_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/ownership"
-	"sailhead/internal/platform"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/keyvalue"
+	"sailhead/internal/native/ownership"
 )
 
 // The target size of one region, and of the configuration of all.
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d bytes, %d bytes sent", document.name, len(plain), len(sent))
-		if len(plain) > platform.MaxValue/2 {
+		if len(plain) > keyvalue.MaxValue/2 {
 			t.Errorf("%s: %d bytes are more than half of the largest value", document.name, len(plain))
 		}
 	}
--- a/internal/gossip/state.go
+++ b/internal/native/gossip/state.go
@@ -9,9 +9,9 @@
 import (
 	"sync"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
 )
 
 // Watchers hear of what is new; each is called in the order of the versions.
--- a/internal/guard/guard.go
+++ b/internal/native/guard/guard.go
@@ -10,8 +10,8 @@
 	"math/rand/v2"
 	"time"
 
-	"sailhead/internal/admission"
-	"sailhead/internal/model"
+	"sailhead/internal/native/admission"
+	"sailhead/internal/native/model"
 )
 
 // Task is one task that an owner asks the guard to start.
--- a/internal/guard/guard_test.go
+++ b/internal/native/guard/guard_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // script drives a guard with one slot fewer than its tasks need.
--- a/internal/guard/queue.go
+++ b/internal/native/guard/queue.go
@@ -6,7 +6,7 @@
 import (
 	"container/heap"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // queue orders waiting tasks by urgency, then by when they are due.
--- a/internal/guard/usage.go
+++ b/internal/native/guard/usage.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // usageSpan is the time over which the use of the slots is taken.
--- a/internal/platform/platform.go
+++ b/internal/native/keyvalue/keyvalue.go
@@ -1,8 +1,9 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package platform talks to the platform: its key-value service and its list of VMs.
-package platform
+// Package keyvalue is the client of the key-value service and of the list of VMs that sailhead's own interface runs on. The
+// store of the users' platform is another one: see /platform.
+package keyvalue
 
 import (
 	"time"
@@ -13,13 +14,13 @@
 // Errors of the key-value service.
 var (
 	// ErrNotFound says that the key has no value.
-	ErrNotFound = errors.New("platform: key not found")
+	ErrNotFound = errors.New("keyvalue: key not found")
 	// ErrConflict says that the key has another revision than the one compared; nothing was written.
-	ErrConflict = errors.New("platform: revision conflict")
+	ErrConflict = errors.New("keyvalue: revision conflict")
 	// ErrLeaseLapsed says that the lease is gone.
-	ErrLeaseLapsed = errors.New("platform: lease has lapsed")
+	ErrLeaseLapsed = errors.New("keyvalue: lease has lapsed")
 	// ErrUncertain says that a write may have taken effect although its reply is lost.
-	ErrUncertain = errors.New("platform: the write may have taken effect")
+	ErrUncertain = errors.New("keyvalue: the write may have taken effect")
 )
 
 // MaxValue is the largest value that the service holds, in bytes.
--- a/internal/membership/list.go
+++ b/internal/native/membership/list.go
@@ -11,8 +11,8 @@
 	"github.com/go-kit/log/level"
 
 	"sailhead/internal/metric"
-	"sailhead/internal/ownership"
-	"sailhead/internal/platform"
+	"sailhead/internal/native/keyvalue"
+	"sailhead/internal/native/ownership"
 )
 
 // ReadList brings the roster in line with the platform's list of VMs until the context ends.
@@ -22,7 +22,7 @@
 func (m *Membership) ReadList(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	var lease platform.LeaseID
+	var lease keyvalue.LeaseID
 	for {
 		select {
 		case <-ctx.Done():
@@ -42,14 +42,14 @@
 }
 
 // holdTurn keeps or takes the turn to read the list; an empty lease means that another entry has it.
-func (m *Membership) holdTurn(ctx context.Context, lease platform.LeaseID) (platform.LeaseID, error) {
+func (m *Membership) holdTurn(ctx context.Context, lease keyvalue.LeaseID) (keyvalue.LeaseID, error) {
 	if lease != "" {
 		err := m.platform.KeepAlive(ctx, lease)
-		if !errors.Is(err, platform.ErrLeaseLapsed) {
+		if !errors.Is(err, keyvalue.ErrLeaseLapsed) {
 			return lease, err
 		}
 	}
-	if _, err := m.platform.Get(ctx, keyListReaderPrefix+m.region); !errors.Is(err, platform.ErrNotFound) {
+	if _, err := m.platform.Get(ctx, keyListReaderPrefix+m.region); !errors.Is(err, keyvalue.ErrNotFound) {
 		return "", err
 	}
 	lease, err := m.platform.Grant(ctx, readerLease)
@@ -57,7 +57,7 @@
 		return "", err
 	}
 	_, err = m.platform.CompareAndSwapLeased(ctx, keyListReaderPrefix+m.region, []byte(m.self.ID), 0, lease)
-	if errors.Is(err, platform.ErrConflict) {
+	if errors.Is(err, keyvalue.ErrConflict) {
 		return "", m.platform.Revoke(ctx, lease)
 	}
 	return lease, err
@@ -80,8 +80,8 @@
 
 // applyList marks the members that the list shows, and removes those that it showed and shows no longer.
 // A member younger than the list's lag is left alone: the list may still speak of an earlier VM at its address.
-func applyList(r ownership.Roster, vms []platform.VM, now time.Time, lag time.Duration) (ownership.Roster, error) {
-	shown := make(map[string]platform.VMState, len(vms))
+func applyList(r ownership.Roster, vms []keyvalue.VM, now time.Time, lag time.Duration) (ownership.Roster, error) {
+	shown := make(map[string]keyvalue.VMState, len(vms))
 	for _, vm := range vms {
 		shown[vm.Address] = vm.State
 	}
@@ -91,7 +91,7 @@
 			continue
 		}
 		state, ok := shown[member.Address]
-		leaving := state == platform.VMLeaving
+		leaving := state == keyvalue.VMLeaving
 		switch {
 		case ok && (!member.SeenOnList || leaving && !member.Leaving):
 			r, err = r.WithSeen(member.ID, leaving)
--- a/internal/membership/list_test.go
+++ b/internal/native/membership/list_test.go
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/ownership"
-	"sailhead/internal/platform"
+	"sailhead/internal/native/keyvalue"
+	"sailhead/internal/native/ownership"
 )
 
 func TestApplyList(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	const lag = 30 * time.Second
 	r := ownership.Roster{}.WithJoined(ownership.Member{ID: "a#1", Address: "a", Role: ownership.RoleAgent}, start)
-	listed := []platform.VM{{Address: "a", State: platform.VMLive}}
-	step := func(what string, after time.Duration, vms []platform.VM, isListed, isLeaving bool) {
+	listed := []keyvalue.VM{{Address: "a", State: keyvalue.VMLive}}
+	step := func(what string, after time.Duration, vms []keyvalue.VM, isListed, isLeaving bool) {
 		t.Helper()
 		next, err := applyList(r, vms, start.Add(after), lag)
 		if err != nil {
@@ -34,7 +34,7 @@
 	step("shown within the lag", time.Second, listed, true, false)
 	step("not shown within the lag", 2*time.Second, nil, true, false)
 	step("shown", lag, listed, true, false)
-	step("leaving", lag+time.Second, []platform.VM{{Address: "a", State: platform.VMLeaving}}, true, true)
+	step("leaving", lag+time.Second, []keyvalue.VM{{Address: "a", State: keyvalue.VMLeaving}}, true, true)
 	step("leaving is not taken back", lag+2*time.Second, listed, true, true)
 	step("shown before and no longer is dead", lag+3*time.Second, nil, false, true)
 }
--- a/internal/membership/liveness.go
+++ b/internal/native/membership/liveness.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"sailhead/internal/ownership"
+	"sailhead/internal/native/ownership"
 )
 
 const (
--- a/internal/membership/liveness_test.go
+++ b/internal/native/membership/liveness_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"sailhead/internal/ownership"
+	"sailhead/internal/native/ownership"
 )
 
 func TestLiveness(t *testing.T) {
--- a/internal/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -13,11 +13,11 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/gossip"
 	"sailhead/internal/metric"
-	"sailhead/internal/ownership"
-	"sailhead/internal/platform"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/gossip"
+	"sailhead/internal/native/keyvalue"
+	"sailhead/internal/native/ownership"
 )
 
 // The keys of the platform's service.
@@ -46,9 +46,9 @@
 type Membership struct {
 	self          ownership.Member
 	region        string
-	platform      *platform.Client
-	roster        platform.Document[ownership.Roster]
-	configuration platform.Document[configuration.Configuration]
+	platform      *keyvalue.Client
+	roster        keyvalue.Document[ownership.Roster]
+	configuration keyvalue.Document[configuration.Configuration]
 	state         *gossip.State
 	retention     time.Duration
 	listLag       time.Duration
@@ -65,13 +65,13 @@
 }
 
 // New returns the membership of a process that has not joined its region's roster.
-func New(self ownership.Member, region string, client *platform.Client, state *gossip.State, times Times, metrics *metric.Set, logger log.Logger) *Membership {
+func New(self ownership.Member, region string, client *keyvalue.Client, state *gossip.State, times Times, metrics *metric.Set, logger log.Logger) *Membership {
 	return &Membership{
 		self:          self,
 		region:        region,
 		platform:      client,
-		roster:        platform.NewDocument[ownership.Roster](client, KeyRoster(region)),
-		configuration: platform.NewDocument[configuration.Configuration](client, KeyConfiguration),
+		roster:        keyvalue.NewDocument[ownership.Roster](client, KeyRoster(region)),
+		configuration: keyvalue.NewDocument[configuration.Configuration](client, KeyConfiguration),
 		state:         state,
 		retention:     times.Retention,
 		listLag:       times.ListLag,
@@ -108,7 +108,7 @@
 func (m *Membership) Leave(ctx context.Context, heir ownership.MemberID, epoch uint64) error {
 	return m.change(ctx, func(r ownership.Roster) (ownership.Roster, error) {
 		if self, ok := r.MemberByID(m.self.ID); !ok || !self.IsListed() {
-			return r, platform.ErrUnchanged
+			return r, keyvalue.ErrUnchanged
 		}
 		if r.Epoch != epoch {
 			return r, ErrRosterMoved
@@ -137,7 +137,7 @@
 	roster, _, err := m.roster.Update(ctx, func(old ownership.Roster) (ownership.Roster, error) {
 		next, err := change(old)
 		if err == nil && next.Revision == old.Revision {
-			return old, platform.ErrUnchanged
+			return old, keyvalue.ErrUnchanged
 		}
 		return next, err
 	})
@@ -164,7 +164,7 @@
 	for ctx.Err() == nil {
 		err := m.change(ctx, func(r ownership.Roster) (ownership.Roster, error) {
 			if self, ok := r.MemberByID(m.self.ID); !ok || !self.IsListed() || self.Acked >= epoch {
-				return r, platform.ErrUnchanged
+				return r, keyvalue.ErrUnchanged
 			}
 			return r.WithAck(m.self.ID, epoch, time.Now())
 		})
@@ -187,7 +187,7 @@
 	watch(ctx, m, m.configuration, func(c configuration.Configuration) { m.state.SeeConfiguration(c) })
 }
 
-func watch[T any](ctx context.Context, m *Membership, document platform.Document[T], see func(T)) {
+func watch[T any](ctx context.Context, m *Membership, document keyvalue.Document[T], see func(T)) {
 	var after uint64
 	for ctx.Err() == nil {
 		value, revision, err := document.Watch(ctx, after)
--- a/internal/operator/grammar.go
+++ b/internal/native/operator/grammar.go
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/configuration"
+	"sailhead/internal/native/configuration"
 )
 
 // line is one line of the language.
--- a/internal/operator/operator_test.go
+++ b/internal/native/operator/operator_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/platformstandin"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/platformstandin"
 )
 
 // session returns a session on a new platform stand-in.
--- a/internal/operator/query.go
+++ b/internal/native/operator/query.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 // inspectTime bounds the wait for one process.
--- a/internal/operator/session.go
+++ b/internal/native/operator/session.go
@@ -10,13 +10,13 @@
 	"github.com/go-faster/errors"
 	"github.com/google/uuid"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/gossip"
-	"sailhead/internal/membership"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer"
-	"sailhead/internal/peer/peerpb"
-	"sailhead/internal/platform"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/gossip"
+	"sailhead/internal/native/keyvalue"
+	"sailhead/internal/native/membership"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 // Session executes an operator's lines.
@@ -24,8 +24,8 @@
 	author        string
 	seeds         []string
 	peers         *peer.Client
-	configuration platform.Document[configuration.Configuration]
-	roster        platform.Document[ownership.Roster]
+	configuration keyvalue.Document[configuration.Configuration]
+	roster        keyvalue.Document[ownership.Roster]
 }
 
 // Options are what a session needs to know.
@@ -39,14 +39,14 @@
 
 // NewSession returns a session and a function that closes its connections.
 func NewSession(options Options) (session *Session, cleanup func()) {
-	store, closeStore := platform.NewClient(options.PlatformAddress, options.PlatformTimeout)
+	store, closeStore := keyvalue.NewClient(options.PlatformAddress, options.PlatformTimeout)
 	peers, closePeers := peer.NewClient()
 	s := &Session{
 		author:        options.Author,
 		seeds:         options.Seeds,
 		peers:         peers,
-		configuration: platform.NewDocument[configuration.Configuration](store, membership.KeyConfiguration),
-		roster:        platform.NewDocument[ownership.Roster](store, membership.KeyRoster(options.Region)),
+		configuration: keyvalue.NewDocument[configuration.Configuration](store, membership.KeyConfiguration),
+		roster:        keyvalue.NewDocument[ownership.Roster](store, membership.KeyRoster(options.Region)),
 	}
 	return s, func() {
 		closePeers()
@@ -88,11 +88,11 @@
 	entry := configuration.Record{ID: uuid.NewString(), Author: s.author, Time: time.Now().UTC(), Line: text}
 	written, revision, err := s.configuration.Update(ctx, func(c configuration.Configuration) (configuration.Configuration, error) {
 		if _, done := c.RecordByID(entry.ID); done {
-			return c, platform.ErrUnchanged
+			return c, keyvalue.ErrUnchanged
 		}
 		return c.With(change, entry)
 	})
-	if errors.Is(err, platform.ErrUncertain) {
+	if errors.Is(err, keyvalue.ErrUncertain) {
 		return nil, errors.Wrapf(err, "operator: unable to tell whether change %s was committed; see show history", entry.ID)
 	}
 	if err != nil {
--- a/internal/operator/timeline.go
+++ b/internal/native/operator/timeline.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 // TimelineQuery selects events over all processes.
--- a/internal/owner/event.go
+++ b/internal/native/owner/event.go
@@ -10,9 +10,9 @@
 import (
 	"time"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
 )
 
 // Waiter names a request that waits for a response.
--- a/internal/owner/job.go
+++ b/internal/native/owner/job.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
 )
 
 // job is a submission on its way to an answer.
--- a/internal/owner/owner.go
+++ b/internal/native/owner/owner.go
@@ -8,11 +8,11 @@
 	"math/rand/v2"
 	"time"
 
-	"sailhead/internal/admission"
-	"sailhead/internal/configuration"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
-	"sailhead/internal/placement"
+	"sailhead/internal/native/admission"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/placement"
 )
 
 // suspendTime is how long a worker whose agent was not reached, or is silent, gets no tasks.
--- a/internal/owner/owner_test.go
+++ b/internal/native/owner/owner_test.go
@@ -14,10 +14,10 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
-	"sailhead/internal/placement"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/placement"
 )
 
 // script drives one owner; guards and entries are what the script says of them.
--- a/internal/owner/quota.go
+++ b/internal/native/owner/quota.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/time/rate"
 
-	"sailhead/internal/configuration"
-	"sailhead/internal/model"
+	"sailhead/internal/native/configuration"
+	"sailhead/internal/native/model"
 )
 
 // quotas holds this owner's share of each team's quota.
--- a/internal/ownership/fence.go
+++ b/internal/native/ownership/fence.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // fence counts the promises that a key still needs.
--- a/internal/ownership/forwarder.go
+++ b/internal/native/ownership/forwarder.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // Route is where an entry sends a submission: ForwardTo, RelayThrough or NoRoute.
--- a/internal/ownership/handover.go
+++ b/internal/native/ownership/handover.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // Leave makes the owner decline every new key from now on.
--- a/internal/ownership/limits.go
+++ b/internal/native/ownership/limits.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // Limits bound how long keys are accepted and how much is remembered.
--- a/internal/ownership/member.go
+++ b/internal/native/ownership/member.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // MemberID names one incarnation of a process.
--- a/internal/ownership/random_test.go
+++ b/internal/native/ownership/random_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // packet is a message on the way in a random schedule; it may be delivered late or never.
--- a/internal/ownership/roster.go
+++ b/internal/native/ownership/roster.go
@@ -10,7 +10,7 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // Settlement says when every listed entry had acknowledged an epoch.
--- a/internal/ownership/script_test.go
+++ b/internal/native/ownership/script_test.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/datadriven"
 	"github.com/google/uuid"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // world holds the state machines that a script drives.
--- a/internal/ownership/table.go
+++ b/internal/native/ownership/table.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"sailhead/internal/model"
+	"sailhead/internal/native/model"
 )
 
 // FieldDeadline is the field of a job that a rejection for a deadline in the past names.
--- a/internal/peer/client.go
+++ b/internal/native/peer/client.go
@@ -16,11 +16,11 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/guard"
-	"sailhead/internal/model"
-	"sailhead/internal/owner"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/guard"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/owner"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 const (
--- a/internal/peer/server.go
+++ b/internal/native/peer/server.go
@@ -13,7 +13,7 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 // MaxMessage is the largest message accepted from a peer, in bytes.
--- a/internal/peer/wire_job.go
+++ b/internal/native/peer/wire_job.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/model"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 // jobToWire returns the message for a job.
--- a/internal/peer/wire_memory.go
+++ b/internal/native/peer/wire_memory.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 func recordsToWire(records []ownership.Record) []*peerpb.Record {
--- a/internal/peer/wire_task.go
+++ b/internal/native/peer/wire_task.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/guard"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
-	"sailhead/internal/peer/peerpb"
+	"sailhead/internal/native/guard"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/native/peer/peerpb"
 )
 
 // TaskFromWire returns the task in a start request.
--- a/internal/placement/policy.go
+++ b/internal/native/placement/policy.go
@@ -8,6 +8,8 @@
 	"math/rand/v2"
 
 	"github.com/go-faster/errors"
+
+	"sailhead/internal/settings"
 )
 
 // Policy is a way to choose a worker: Random, TwoChoices or LeastLoaded.
@@ -26,26 +28,14 @@
 func (TwoChoices) isPolicy()  {}
 func (LeastLoaded) isPolicy() {}
 
-// The names of the policies in settings.
-const (
-	NameRandom      = "random"
-	NameTwoChoices  = "two_choices"
-	NameLeastLoaded = "least_loaded"
-)
-
-// Names lists the policies that settings may name.
-func Names() []string {
-	return []string{NameRandom, NameTwoChoices, NameLeastLoaded}
-}
-
-// NewPolicy returns the policy with the name.
+// NewPolicy returns the policy that settings name. Subset is the number of workers that LeastLoaded compares; 0 is all.
 func NewPolicy(name string, subset int) (Policy, error) {
 	switch name {
-	case NameRandom:
+	case settings.PolicyRandom:
 		return Random{}, nil
-	case NameTwoChoices:
+	case settings.PolicyTwoChoices:
 		return TwoChoices{}, nil
-	case NameLeastLoaded:
+	case settings.PolicyLeastLoaded:
 		return LeastLoaded{Subset: subset}, nil
 	default:
 		return nil, errors.Errorf("placement: unknown policy %q", name)
--- a/internal/placement/view.go
+++ b/internal/native/placement/view.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"sailhead/internal/admission"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
+	"sailhead/internal/native/admission"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
 )
 
 // waitMargin is the factor by which an estimated wait is lengthened: other owners admit jobs at the same time
--- a/internal/placement/view_test.go
+++ b/internal/native/placement/view_test.go
@@ -8,9 +8,10 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/admission"
-	"sailhead/internal/model"
-	"sailhead/internal/ownership"
+	"sailhead/internal/native/admission"
+	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
+	"sailhead/internal/settings"
 )
 
 var now = time.Unix(1_800_000_000, 0)
@@ -124,7 +125,7 @@
 }
 
 func TestPolicies(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range settings.Policies() {
 		policy, err := NewPolicy(name, 2)
 		if err != nil {
 			t.Fatal(err)
@@ -134,7 +135,7 @@
 		for range 200 {
 			seen[place(t, v, now, "a")]++
 		}
-		if seen["d"]+seen["a"]+seen["none"] > 0 || seen["b"] == 0 || name == NameRandom && seen["c"] == 0 {
+		if seen["d"]+seen["a"]+seen["none"] > 0 || seen["b"] == 0 || name == settings.PolicyRandom && seen["c"] == 0 {
 			t.Errorf("%s: got %v", name, seen)
 		}
 	}
--- a/internal/platformstandin/platform_test.go
+++ b/internal/native/platformstandin/platform_test.go
@@ -11,17 +11,17 @@
 
 	"github.com/go-faster/errors"
 
-	"sailhead/internal/platform"
+	"sailhead/internal/native/keyvalue"
 )
 
 // start returns a stand-in with a client.
-func start(t *testing.T) (*Server, *platform.Client) {
+func start(t *testing.T) (*Server, *keyvalue.Client) {
 	t.Helper()
 	server, address, stop, err := NewServer("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	client, closeClient := platform.NewClient(address, 2*time.Second)
+	client, closeClient := keyvalue.NewClient(address, 2*time.Second)
 	t.Cleanup(closeClient)
 	t.Cleanup(stop)
 	return server, client
@@ -30,21 +30,21 @@
 func TestCompareAndSwap(t *testing.T) {
 	_, client := start(t)
 	ctx := t.Context()
-	if _, err := client.Get(ctx, "k"); !errors.Is(err, platform.ErrNotFound) {
+	if _, err := client.Get(ctx, "k"); !errors.Is(err, keyvalue.ErrNotFound) {
 		t.Errorf("got %v for a key without a value", err)
 	}
 	first, err := client.CompareAndSwap(ctx, "k", []byte("one"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := client.CompareAndSwap(ctx, "k", []byte("two"), 0); !errors.Is(err, platform.ErrConflict) {
+	if _, err := client.CompareAndSwap(ctx, "k", []byte("two"), 0); !errors.Is(err, keyvalue.ErrConflict) {
 		t.Errorf("got %v for a stale revision", err)
 	}
 	value, err := client.Get(ctx, "k")
 	if err != nil || string(value.Data) != "one" || value.Revision != first {
 		t.Errorf("got %+v, %v", value, err)
 	}
-	if _, err := client.CompareAndSwap(ctx, "k", make([]byte, platform.MaxValue+1), first); err == nil {
+	if _, err := client.CompareAndSwap(ctx, "k", make([]byte, keyvalue.MaxValue+1), first); err == nil {
 		t.Error("a value over the limit was taken")
 	}
 }
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := make(chan platform.Value, 1)
+	seen := make(chan keyvalue.Value, 1)
 	go func() {
 		value, _ := client.Watch(ctx, "k", first)
 		seen <- value
@@ -76,7 +76,7 @@
 	return func(c counter) (counter, error) {
 		for _, done := range c.Changes {
 			if done == id {
-				return c, platform.ErrUnchanged
+				return c, keyvalue.ErrUnchanged
 			}
 		}
 		c.Changes = append(c.Changes, id)
@@ -86,7 +86,7 @@
 
 func TestUpdateSurvivesLostReplies(t *testing.T) {
 	server, client := start(t)
-	document := platform.NewDocument[counter](client, "doc")
+	document := keyvalue.NewDocument[counter](client, "doc")
 	server.SetFaults(Faults{LostReplies: 3})
 	for _, id := range []string{"a", "b", "c", "d"} {
 		if _, _, err := document.Update(t.Context(), add(id)); err != nil {
@@ -101,7 +101,7 @@
 
 func TestUpdateOfTwoAtOnceLosesNothing(t *testing.T) {
 	_, client := start(t)
-	document := platform.NewDocument[counter](client, "doc")
+	document := keyvalue.NewDocument[counter](client, "doc")
 	done := make(chan error, 8)
 	for i := range 8 {
 		go func() {
@@ -123,10 +123,10 @@
 	server, client := start(t)
 	server.SetFaults(Faults{Outage: true})
 	ctx := t.Context()
-	if _, err := client.Get(ctx, "k"); err == nil || errors.Is(err, platform.ErrNotFound) {
+	if _, err := client.Get(ctx, "k"); err == nil || errors.Is(err, keyvalue.ErrNotFound) {
 		t.Errorf("get: %v", err)
 	}
-	if _, err := client.CompareAndSwap(ctx, "k", nil, 0); !errors.Is(err, platform.ErrUncertain) {
+	if _, err := client.CompareAndSwap(ctx, "k", nil, 0); !errors.Is(err, keyvalue.ErrUncertain) {
 		t.Errorf("swap: %v", err)
 	}
 	if _, err := client.VMs(ctx); err == nil {
@@ -160,10 +160,10 @@
 			t.Errorf("the lease was kept alive: %v", err)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if _, err := store.Get("k"); !errors.Is(err, platform.ErrNotFound) {
+		if _, err := store.Get("k"); !errors.Is(err, keyvalue.ErrNotFound) {
 			t.Errorf("got %v after the lease lapsed", err)
 		}
-		if err := store.KeepAlive(lease); !errors.Is(err, platform.ErrLeaseLapsed) {
+		if err := store.KeepAlive(lease); !errors.Is(err, keyvalue.ErrLeaseLapsed) {
 			t.Errorf("got %v for a lapsed lease", err)
 		}
 	})
@@ -172,11 +172,11 @@
 func TestListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := NewList(time.Now)
-		list.Set("10.0.0.1:1", platform.VMLive)
+		list.Set("10.0.0.1:1", keyvalue.VMLive)
 		list.SetLag(time.Second)
-		list.Set("10.0.0.1:1", platform.VMLeaving)
+		list.Set("10.0.0.1:1", keyvalue.VMLeaving)
 		list.Set("10.0.0.1:1", "")
-		if vms := list.VMs(); len(vms) != 1 || vms[0].State != platform.VMLive {
+		if vms := list.VMs(); len(vms) != 1 || vms[0].State != keyvalue.VMLive {
 			t.Errorf("got %v before the lag", vms)
 		}
 		time.Sleep(time.Second)
--- a/internal/platformstandin/server.go
+++ b/internal/native/platformstandin/server.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 	"github.com/valyala/fasthttp"
 
-	"sailhead/internal/platform"
+	"sailhead/internal/native/keyvalue"
 )
 
 // PathFaults switches the faults on and off.
@@ -47,7 +47,7 @@
 		return nil, "", nil, errors.Wrapf(err, "platformstandin: unable to listen at %s", address)
 	}
 	s := &Server{store: NewStore(time.Now), list: NewList(time.Now)}
-	http := &fasthttp.Server{Handler: s.serve, Name: "platform-standin", MaxRequestBodySize: 2 * platform.MaxValue, CloseOnShutdown: true}
+	http := &fasthttp.Server{Handler: s.serve, Name: "platform-standin", MaxRequestBodySize: 2 * keyvalue.MaxValue, CloseOnShutdown: true}
 	go func() { _ = http.Serve(listener) }()
 	return s, listener.Addr().String(), func() { _ = listener.Close() }, nil
 }
@@ -89,18 +89,18 @@
 }
 
 // PathVMs is the path of the list; a VM below it is set with PUT ?state= and taken off with DELETE.
-const PathVMs = platform.PathVMs
+const PathVMs = keyvalue.PathVMs
 
 func (s *Server) serveService(ctx *fasthttp.RequestCtx, path string) {
 	switch {
 	case path == PathVMs:
 		s.serveVMs(ctx)
-	case strings.HasPrefix(path, platform.PathKeys) && ctx.IsGet():
-		s.serveGet(ctx, strings.TrimPrefix(path, platform.PathKeys))
-	case strings.HasPrefix(path, platform.PathKeys) && ctx.IsPut():
-		s.servePut(ctx, strings.TrimPrefix(path, platform.PathKeys))
-	case strings.HasPrefix(path, platform.PathLeases):
-		s.serveLease(ctx, strings.TrimPrefix(path, platform.PathLeases))
+	case strings.HasPrefix(path, keyvalue.PathKeys) && ctx.IsGet():
+		s.serveGet(ctx, strings.TrimPrefix(path, keyvalue.PathKeys))
+	case strings.HasPrefix(path, keyvalue.PathKeys) && ctx.IsPut():
+		s.servePut(ctx, strings.TrimPrefix(path, keyvalue.PathKeys))
+	case strings.HasPrefix(path, keyvalue.PathLeases):
+		s.serveLease(ctx, strings.TrimPrefix(path, keyvalue.PathLeases))
 	default:
 		ctx.Error("no such call", fasthttp.StatusNotFound)
 	}
@@ -108,9 +108,9 @@
 
 func (s *Server) serveGet(ctx *fasthttp.RequestCtx, key string) {
 	after, wait := uint64(0), time.Duration(0)
-	if text := ctx.QueryArgs().Peek(platform.ParamAfter); len(text) > 0 {
+	if text := ctx.QueryArgs().Peek(keyvalue.ParamAfter); len(text) > 0 {
 		after, _ = strconv.ParseUint(string(text), 10, 64)
-		wait, _ = time.ParseDuration(string(ctx.QueryArgs().Peek(platform.ParamWait)))
+		wait, _ = time.ParseDuration(string(ctx.QueryArgs().Peek(keyvalue.ParamWait)))
 	}
 	value, err := s.store.Await(key, after, wait)
 	if wait == 0 {
@@ -120,32 +120,32 @@
 		ctx.Error(err.Error(), fasthttp.StatusNotFound)
 		return
 	}
-	ctx.Response.Header.Set(platform.HeaderRevision, strconv.FormatUint(value.Revision, 10))
+	ctx.Response.Header.Set(keyvalue.HeaderRevision, strconv.FormatUint(value.Revision, 10))
 	ctx.SetBody(value.Data)
 }
 
 func (s *Server) servePut(ctx *fasthttp.RequestCtx, key string) {
-	revision, err := strconv.ParseUint(string(ctx.QueryArgs().Peek(platform.ParamRevision)), 10, 64)
-	if err != nil || len(ctx.PostBody()) > platform.MaxValue {
+	revision, err := strconv.ParseUint(string(ctx.QueryArgs().Peek(keyvalue.ParamRevision)), 10, 64)
+	if err != nil || len(ctx.PostBody()) > keyvalue.MaxValue {
 		ctx.Error("bad revision or value", fasthttp.StatusBadRequest)
 		return
 	}
 	data := append([]byte(nil), ctx.PostBody()...)
-	id := platform.LeaseID(ctx.QueryArgs().Peek(platform.ParamLease))
+	id := keyvalue.LeaseID(ctx.QueryArgs().Peek(keyvalue.ParamLease))
 	written, err := s.store.Swap(key, data, revision, id)
 	switch {
-	case errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, keyvalue.ErrConflict):
 		ctx.Error(err.Error(), fasthttp.StatusConflict)
-	case errors.Is(err, platform.ErrLeaseLapsed):
+	case errors.Is(err, keyvalue.ErrLeaseLapsed):
 		ctx.Error(err.Error(), fasthttp.StatusGone)
 	default:
-		ctx.Response.Header.Set(platform.HeaderRevision, strconv.FormatUint(written, 10))
+		ctx.Response.Header.Set(keyvalue.HeaderRevision, strconv.FormatUint(written, 10))
 	}
 }
 
 func (s *Server) serveLease(ctx *fasthttp.RequestCtx, id string) {
 	if id == "" {
-		ttl, err := time.ParseDuration(string(ctx.QueryArgs().Peek(platform.ParamTTL)))
+		ttl, err := time.ParseDuration(string(ctx.QueryArgs().Peek(keyvalue.ParamTTL)))
 		if err != nil || ttl <= 0 {
 			ctx.Error("bad ttl", fasthttp.StatusBadRequest)
 			return
@@ -157,7 +157,7 @@
 	if ctx.IsDelete() {
 		change = s.store.Revoke
 	}
-	if err := change(platform.LeaseID(id)); err != nil {
+	if err := change(keyvalue.LeaseID(id)); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusGone)
 	}
 }
@@ -172,10 +172,10 @@
 }
 
 func (s *Server) setVM(ctx *fasthttp.RequestCtx, address string) {
-	state := platform.VMState(ctx.QueryArgs().Peek("state"))
+	state := keyvalue.VMState(ctx.QueryArgs().Peek("state"))
 	if ctx.IsDelete() {
 		state = ""
-	} else if state != platform.VMLive && state != platform.VMLeaving {
+	} else if state != keyvalue.VMLive && state != keyvalue.VMLeaving {
 		ctx.Error("state is live or leaving", fasthttp.StatusBadRequest)
 		return
 	}
--- a/internal/platformstandin/store.go
+++ b/internal/native/platformstandin/store.go
@@ -13,7 +13,7 @@
 
 	"github.com/google/uuid"
 
-	"sailhead/internal/platform"
+	"sailhead/internal/native/keyvalue"
 )
 
 // Store is the key-value service in memory.
@@ -21,14 +21,14 @@
 	mu       sync.Mutex
 	revision uint64
 	values   map[string]stored
-	leases   map[platform.LeaseID]lease
+	leases   map[keyvalue.LeaseID]lease
 	changed  chan struct{}
 	now      func() time.Time
 }
 
 type stored struct {
-	value platform.Value
-	lease platform.LeaseID
+	value keyvalue.Value
+	lease keyvalue.LeaseID
 }
 
 type lease struct {
@@ -40,26 +40,26 @@
 func NewStore(now func() time.Time) *Store {
 	return &Store{
 		values:  make(map[string]stored),
-		leases:  make(map[platform.LeaseID]lease),
+		leases:  make(map[keyvalue.LeaseID]lease),
 		changed: make(chan struct{}),
 		now:     now,
 	}
 }
 
 // Get returns the value of a key.
-func (s *Store) Get(key string) (platform.Value, error) {
+func (s *Store) Get(key string) (keyvalue.Value, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lapse()
 	v, ok := s.values[key]
 	if !ok {
-		return platform.Value{}, platform.ErrNotFound
+		return keyvalue.Value{}, keyvalue.ErrNotFound
 	}
 	return v.value, nil
 }
 
 // Await returns the value once it has a revision after the given one or the wait is over.
-func (s *Store) Await(key string, after uint64, wait time.Duration) (platform.Value, error) {
+func (s *Store) Await(key string, after uint64, wait time.Duration) (keyvalue.Value, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -79,39 +79,39 @@
 }
 
 // Swap writes the value if the key has the revision.
-func (s *Store) Swap(key string, data []byte, revision uint64, id platform.LeaseID) (uint64, error) {
+func (s *Store) Swap(key string, data []byte, revision uint64, id keyvalue.LeaseID) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lapse()
 	if s.values[key].value.Revision != revision {
-		return 0, platform.ErrConflict
+		return 0, keyvalue.ErrConflict
 	}
 	if _, ok := s.leases[id]; id != "" && !ok {
-		return 0, platform.ErrLeaseLapsed
+		return 0, keyvalue.ErrLeaseLapsed
 	}
 	s.revision++
-	s.values[key] = stored{value: platform.Value{Data: data, Revision: s.revision}, lease: id}
+	s.values[key] = stored{value: keyvalue.Value{Data: data, Revision: s.revision}, lease: id}
 	s.wake()
 	return s.revision, nil
 }
 
 // Grant returns a new lease.
-func (s *Store) Grant(ttl time.Duration) platform.LeaseID {
+func (s *Store) Grant(ttl time.Duration) keyvalue.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id := platform.LeaseID(uuid.NewString())
+	id := keyvalue.LeaseID(uuid.NewString())
 	s.leases[id] = lease{ttl: ttl, lapses: s.now().Add(ttl)}
 	return id
 }
 
 // KeepAlive extends a lease.
-func (s *Store) KeepAlive(id platform.LeaseID) error {
+func (s *Store) KeepAlive(id keyvalue.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lapse()
 	l, ok := s.leases[id]
 	if !ok {
-		return platform.ErrLeaseLapsed
+		return keyvalue.ErrLeaseLapsed
 	}
 	l.lapses = s.now().Add(l.ttl)
 	s.leases[id] = l
@@ -119,11 +119,11 @@
 }
 
 // Revoke ends a lease.
-func (s *Store) Revoke(id platform.LeaseID) error {
+func (s *Store) Revoke(id keyvalue.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.leases[id]; !ok {
-		return platform.ErrLeaseLapsed
+		return keyvalue.ErrLeaseLapsed
 	}
 	s.drop(id)
 	return nil
@@ -138,7 +138,7 @@
 	}
 }
 
-func (s *Store) drop(id platform.LeaseID) {
+func (s *Store) drop(id keyvalue.LeaseID) {
 	delete(s.leases, id)
 	for key, v := range s.values {
 		if v.lease == id {
--- a/internal/platformstandin/vms.go
+++ b/internal/native/platformstandin/vms.go
@@ -9,27 +9,27 @@
 	"sync"
 	"time"
 
-	"sailhead/internal/platform"
+	"sailhead/internal/native/keyvalue"
 )
 
 // List is the platform's list of VMs, which shows each change only after a lag.
 type List struct {
 	mu      sync.Mutex
 	lag     time.Duration
-	shown   map[string]platform.VMState
+	shown   map[string]keyvalue.VMState
 	pending []listing
 	now     func() time.Time
 }
 
 type listing struct {
 	address string
-	state   platform.VMState
+	state   keyvalue.VMState
 	at      time.Time
 }
 
 // NewList returns an empty list that reads the time from the clock.
 func NewList(now func() time.Time) *List {
-	return &List{shown: make(map[string]platform.VMState), now: now}
+	return &List{shown: make(map[string]keyvalue.VMState), now: now}
 }
 
 // SetLag sets the lag of the changes to come.
@@ -40,22 +40,22 @@
 }
 
 // Set changes the state of a VM; an empty state takes it off the list.
-func (l *List) Set(address string, state platform.VMState) {
+func (l *List) Set(address string, state keyvalue.VMState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, listing{address: address, state: state, at: l.now().Add(l.lag)})
 }
 
 // VMs returns the list as it is shown now.
-func (l *List) VMs() []platform.VM {
+func (l *List) VMs() []keyvalue.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.show()
-	vms := make([]platform.VM, 0, len(l.shown))
+	vms := make([]keyvalue.VM, 0, len(l.shown))
 	for address, state := range l.shown {
-		vms = append(vms, platform.VM{Address: address, State: state})
+		vms = append(vms, keyvalue.VM{Address: address, State: state})
 	}
-	slices.SortFunc(vms, func(a, b platform.VM) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(vms, func(a, b keyvalue.VM) int { return cmp.Compare(a.Address, b.Address) })
 	return vms
 }
 
--- a/internal/systemtest/failure_test.go
+++ b/internal/native/systemtest/failure_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/backendstandin"
-	"sailhead/internal/platformstandin"
+	"sailhead/internal/native/backendstandin"
+	"sailhead/internal/native/platformstandin"
 )
 
 func TestTheWholePathInSeparateProcesses(t *testing.T) {
--- a/internal/systemtest/load_test.go
+++ b/internal/native/systemtest/load_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/backendstandin"
-	"sailhead/internal/model"
+	"sailhead/internal/native/backendstandin"
+	"sailhead/internal/native/model"
 )
 
 // answer is an answer as a caller sees it.
--- a/internal/systemtest/pairs_test.go
+++ b/internal/native/systemtest/pairs_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/platformstandin"
+	"sailhead/internal/native/platformstandin"
 )
 
 // fault is something that goes wrong, and how it ends.
--- a/internal/systemtest/process_test.go
+++ b/internal/native/systemtest/process_test.go
@@ -20,8 +20,8 @@
 	"testing"
 	"time"
 
-	"sailhead/internal/backendstandin"
-	"sailhead/internal/platformstandin"
+	"sailhead/internal/native/backendstandin"
+	"sailhead/internal/native/platformstandin"
 )
 
 var binary string
--- a/internal/settings/option.go
+++ b/internal/settings/option.go
@@ -12,7 +12,6 @@
 	"github.com/go-faster/errors"
 
 	"sailhead/internal/logging"
-	"sailhead/internal/placement"
 )
 
 // Option is one setting: its name, default, range and help.
@@ -132,7 +131,7 @@
 			value: func(s *Settings) any { return &s.TaskRecords }},
 		{Name: "submissions", Help: "Number of submissions that the owner remembers.", Roles: agents, Default: 20_000, Min: 1, Max: 10_000_000,
 			value: func(s *Settings) any { return &s.Submissions }},
-		{Name: "policy", Help: "How the owner chooses a worker for a task.", Roles: agents, Default: placement.NameTwoChoices, Choices: placement.Names(),
+		{Name: "policy", Help: "How the owner chooses a worker for a task.", Roles: agents, Default: PolicyTwoChoices, Choices: Policies(),
 			value: func(s *Settings) any { return &s.Policy }},
 		{Name: "policy_subset", Help: "Number of workers that the policy least_loaded compares; 0 is all.", Roles: agents, Default: 0, Min: 0, Max: 10_000,
 			value: func(s *Settings) any { return &s.PolicySubset }},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -29,6 +29,18 @@
 	return []Role{RoleEntry, RoleAgent, RolePlatformEntry, RolePlatformAgent, RoleOperator, RolePlatformStandin, RoleBackendStandin}
 }
 
+// The policies by which the owner of a job on sailhead's own interface chooses a worker; internal/native/placement has them.
+const (
+	PolicyRandom      = "random"
+	PolicyTwoChoices  = "two_choices"
+	PolicyLeastLoaded = "least_loaded"
+)
+
+// Policies lists the names that the option policy takes.
+func Policies() []string {
+	return []string{PolicyRandom, PolicyTwoChoices, PolicyLeastLoaded}
+}
+
 // Address is an IP address with a port.
 type Address string
 
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -7,8 +7,6 @@
 import (
 	"sync"
 	"time"
-
-	"sailhead/internal/model"
 )
 
 // Kind says what an event is.
@@ -46,7 +44,7 @@
 	Process    string
 	Kind       Kind
 	Trace      string
-	Submission model.Key
+	Submission string
 	Task       int
 	Worker     string
 	Detail     string
@@ -54,7 +52,7 @@
 
 // Filter selects events; an empty part selects all.
 type Filter struct {
-	Submission model.Key
+	Submission string
 	Worker     string
 	Since      time.Time
 	Until      time.Time
