--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -27,9 +27,9 @@
 
 // Worker calls the worker beside the agent.
 type Worker interface {
-	Start(life string, start worker.Start) worker.StartResult
-	Stop(life string, stop worker.Stop) worker.StopResult
-	Hold(life string, hold worker.Hold) worker.HoldResult
+	Start(life string, start worker.StartRequest) worker.StartResult
+	Stop(life string, stop worker.StopRequest) worker.StopResult
+	Renew(life string, hold worker.RenewRequest) worker.RenewResult
 }
 
 // Store keeps the agent's record where entries find it.
@@ -61,8 +61,8 @@
 	stopMargin = 700 * time.Millisecond
 )
 
-// Sidecar is a running agent.
-type Sidecar struct {
+// Agent is a running agent.
+type Agent struct {
 	settings  Settings
 	self      cluster.Member
 	runner    *runner.Runner
@@ -90,9 +90,9 @@
 }
 
 // New starts an agent. Its clean-up stops it as planned: no new tasks, and time for those that run.
-func New(settings Settings, w Worker, store Store, logger log.Logger, metrics *metric.Set) (*Sidecar, func() error) {
+func New(settings Settings, w Worker, store Store, logger log.Logger, metrics *metric.Set) (*Agent, func() error) {
 	now := time.Now()
-	s := &Sidecar{
+	a := &Agent{
 		settings: settings, worker: w, store: store, metrics: metrics,
 		logger: logging.Part(logger, "agent"),
 		self: cluster.Member{
@@ -104,31 +104,31 @@
 		changed: make(chan struct{}, 1),
 		began:   make(map[string]time.Time),
 	}
-	s.runTimes = metrics.Times("run_time")
-	s.startTimes = metrics.Times("start_time")
-	s.SetSeeds(settings.Seeds)
-	s.context, s.cancel = context.WithCancel(context.Background())
+	a.runTimes = metrics.Times("run_time")
+	a.startTimes = metrics.Times("start_time")
+	a.SetSeeds(settings.Seeds)
+	a.context, a.cancel = context.WithCancel(context.Background())
 	exchanger, closeExchanger := cluster.NewExchanger(cluster.NewDirectory(), refuseDocument)
-	s.exchanger = exchanger
-	sessions, closeSessions := session.NewServer(settings.Sessions, s.self.Incarnation, s.post)
-	s.sessions = sessions
-	s.duties.Go(s.run)
-	s.duties.Go(s.announce)
-	s.duties.Go(s.register)
-	_ = level.Info(s.logger).Log("msg", "serving entries", "address", s.self.Address)
-	return s, func() error {
-		err := s.stop()
-		s.cancel()
+	a.exchanger = exchanger
+	sessions, closeSessions := session.NewServer(settings.Sessions, a.self.Incarnation, a.post)
+	a.sessions = sessions
+	a.duties.Go(a.run)
+	a.duties.Go(a.announce)
+	a.duties.Go(a.register)
+	_ = level.Info(a.logger).Log("msg", "serving entries", "address", a.self.Address)
+	return a, func() error {
+		err := a.stop()
+		a.cancel()
 		closeSessions()
 		closeExchanger()
-		s.duties.Wait()
+		a.duties.Wait()
 		return err
 	}
 }
 
 // SetSeeds takes other entries to announce this agent to into use.
-func (s *Sidecar) SetSeeds(seeds []string) {
-	s.seeds.Store(&seeds)
+func (a *Agent) SetSeeds(seeds []string) {
+	a.seeds.Store(&seeds)
 }
 
 // refuseDocument takes no configuration: agents need none.
@@ -136,130 +136,130 @@
 	return 0, errors.New("agent: agents take no configuration")
 }
 
-func (s *Sidecar) post(event runner.Event) {
+func (a *Agent) post(event runner.Event) {
 	select {
-	case s.events <- event:
-	case <-s.context.Done():
+	case a.events <- event:
+	case <-a.context.Done():
 	}
 }
 
-// WorkerSeen takes in a heartbeat of the worker.
-func (s *Sidecar) WorkerSeen(record worker.Record) {
-	s.post(runner.WorkerSeen{Record: record})
+// HeartbeatReceived takes in a heartbeat of the worker.
+func (a *Agent) HeartbeatReceived(record worker.Record) {
+	a.post(runner.HeartbeatReceived{Record: record})
 }
 
 // WorkerLeft takes in the end of a life of the worker.
-func (s *Sidecar) WorkerLeft(id string) {
-	s.post(runner.WorkerLeft{ID: id})
+func (a *Agent) WorkerLeft(id string) {
+	a.post(runner.WorkerLeft{ID: id})
 }
 
 // run is the duty that decides.
-func (s *Sidecar) run() {
+func (a *Agent) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		var event runner.Event
 		select {
-		case <-s.context.Done():
+		case <-a.context.Done():
 			return
-		case event = <-s.events:
+		case event = <-a.events:
 		case <-ticker.C:
 			event = runner.Ticked{}
 		}
-		s.logEvent(event)
-		for _, effect := range s.runner.Handle(time.Now(), event) {
-			s.carry(effect)
+		a.logEvent(event)
+		for _, effect := range a.runner.Handle(time.Now(), event) {
+			a.apply(effect)
 		}
-		s.publish()
+		a.publish()
 	}
 }
 
 // publish lets other goroutines see the runner's counts.
-func (s *Sidecar) publish() {
-	sessions, _, _ := s.runner.Counts()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.entries != sessions {
-		s.metrics.Set(metric.Sessions, int64(sessions))
+func (a *Agent) publish() {
+	sessions, _, _ := a.runner.Counts()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.entries != sessions {
+		a.metrics.Set(metric.Sessions, int64(sessions))
 	}
-	s.idle = s.runner.IsIdle()
-	if s.idle {
+	a.idle = a.runner.IsIdle()
+	if a.idle {
 		// Runs whose entry has gone are never told of.
-		clear(s.began)
+		clear(a.began)
 	}
-	s.entries = sessions
-	s.noteWorker()
+	a.entries = sessions
+	a.publishWorker()
 }
 
-func (s *Sidecar) counts() (idle bool, entries int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.idle, s.entries
+func (a *Agent) counts() (idle bool, entries int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.idle, a.entries
 }
 
-// carry does what the runner wants done.
-func (s *Sidecar) carry(effect runner.Effect) {
+// apply does what the runner wants done.
+func (a *Agent) apply(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.CallStart:
-		s.metrics.Add(metric.TasksStarted, 1)
-		s.began[e.Start.Name] = time.Now()
-		go s.callStart(e)
+		a.metrics.Add(metric.TasksStarted, 1)
+		a.began[e.Start.Name] = time.Now()
+		go a.callStart(e)
 	case runner.CallStop:
 		go func() {
-			result := s.worker.Stop(e.Life, e.Stop)
-			s.post(runner.StopAnswered{Life: e.Life, Name: e.Stop.Name, Run: e.Stop.Run, Result: result})
+			result := a.worker.Stop(e.Incarnation, e.Stop)
+			a.post(runner.StopAnswered{Incarnation: e.Incarnation, Name: e.Stop.Name, Run: e.Stop.Run, Result: result})
 		}()
-	case runner.CallHold:
+	case runner.CallRenew:
 		asked := time.Now()
 		go func() {
-			result := s.worker.Hold(e.Life, e.Hold)
-			s.post(runner.HoldAnswered{Life: e.Life, Asked: asked, Waited: e.Hold.Wait > 0, Result: result})
+			result := a.worker.Renew(e.Incarnation, e.Renew)
+			a.post(runner.RenewAnswered{Incarnation: e.Incarnation, Sent: asked, LongPoll: e.Renew.Wait > 0, Result: result})
 		}()
 	default:
-		s.record(effect)
-		s.logEffect(effect)
-		s.sessions.Carry(effect)
+		a.record(effect)
+		a.logEffect(effect)
+		a.sessions.Send(effect)
 	}
 }
 
 // record counts what became of a run.
-func (s *Sidecar) record(effect runner.Effect) {
+func (a *Agent) record(effect runner.Effect) {
 	e, ok := effect.(runner.SendUpdate)
 	if !ok || !e.Update.Outcome.IsEnd() {
 		return
 	}
 	outcome := e.Update.Outcome.String()
-	s.metrics.Add(metric.RunsPrefix+outcome, 1)
-	if began, ok := s.began[e.Update.Name]; ok {
-		s.runTimes.Record(outcome, time.Since(began))
+	a.metrics.Add(metric.RunsPrefix+outcome, 1)
+	if began, ok := a.began[e.Update.Name]; ok {
+		a.runTimes.Record(outcome, time.Since(began))
 	}
-	delete(s.began, e.Update.Name)
+	delete(a.began, e.Update.Name)
 }
 
 // callStart starts a run unless the session's lease has run out meanwhile.
-func (s *Sidecar) callStart(e runner.CallStart) {
+func (a *Agent) callStart(e runner.CallStart) {
 	var result worker.StartResult = worker.Invalid{Reason: "the session ended before the start"}
 	if began := time.Now(); !began.After(e.Before) {
-		result = s.worker.Start(e.Life, e.Start)
-		s.startTimes.Record(describeKind(result), time.Since(began))
+		result = a.worker.Start(e.Incarnation, e.Start)
+		a.startTimes.Record(describeKind(result), time.Since(began))
 	}
-	s.post(runner.StartAnswered{Life: e.Life, Name: e.Start.Name, Run: e.Start.Run, Result: result})
+	a.post(runner.StartAnswered{Incarnation: e.Incarnation, Name: e.Start.Name, Run: e.Start.Run, Result: result})
 }
 
 // announce tells the seeds of this agent while no entry has a session.
-func (s *Sidecar) announce() {
+func (a *Agent) announce() {
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
-		if _, entries := s.counts(); entries == 0 && len(*s.seeds.Load()) > 0 {
-			seeds := *s.seeds.Load()
+		if _, entries := a.counts(); entries == 0 && len(*a.seeds.Load()) > 0 {
+			seeds := *a.seeds.Load()
 			seed := seeds[rand.IntN(len(seeds))]
-			if err := s.exchanger.AnnounceTo(s.context, seed, s.self); err != nil {
-				_ = level.Debug(s.logger).Log("msg", "unable to announce", "err", err)
+			if err := a.exchanger.AnnounceTo(a.context, seed, a.self); err != nil {
+				_ = level.Debug(a.logger).Log("msg", "unable to announce", "err", err)
 			}
 		}
 		select {
-		case <-s.context.Done():
+		case <-a.context.Done():
 			return
 		case <-ticker.C:
 		}
@@ -267,56 +267,56 @@
 }
 
 // stop takes no new tasks and waits for those that run, as long as the time to stop allows.
-func (s *Sidecar) stop() error {
-	s.post(runner.LeaveAsked{})
-	deadline := time.Now().Add(s.settings.StopTimeout - stopMargin)
+func (a *Agent) stop() error {
+	a.post(runner.ShutdownRequested{})
+	deadline := time.Now().Add(a.settings.StopTimeout - stopMargin)
 	for time.Now().Before(deadline) {
 		time.Sleep(tickInterval)
-		if idle, _ := s.counts(); idle {
-			_ = level.Info(s.logger).Log("msg", "stopped")
+		if idle, _ := a.counts(); idle {
+			_ = level.Info(a.logger).Log("msg", "stopped")
 			return nil
 		}
 	}
-	_ = level.Warn(s.logger).Log("msg", "stopped with tasks that still run")
+	_ = level.Warn(a.logger).Log("msg", "stopped with tasks that still run")
 	return nil
 }
 
 // logEvent logs what changes the agent's belief.
-func (s *Sidecar) logEvent(event runner.Event) {
+func (a *Agent) logEvent(event runner.Event) {
 	switch e := event.(type) {
 	case runner.SessionOpened:
-		_ = level.Info(s.logger).Log("msg", "session opened", "session", e.Session, "entry", e.Entry)
+		_ = level.Info(a.logger).Log("msg", "session opened", "session", e.Session, "entry", e.Entry)
 	case runner.SessionClosed:
-		_ = level.Info(s.logger).Log("msg", "session closed", "session", e.Session)
-	case runner.WorkerSeen:
-		if known, ok := s.runner.Life(); !ok || known.ID != e.Record.ID || known.Draining != e.Record.Draining {
-			_ = level.Info(s.logger).Log("msg", "worker", "life", e.Record.ID, "draining", e.Record.Draining, "cpu", e.Record.Capacity.CPU)
+		_ = level.Info(a.logger).Log("msg", "session closed", "session", e.Session)
+	case runner.HeartbeatReceived:
+		if known, ok := a.runner.Worker(); !ok || known.ID != e.Record.ID || known.Draining != e.Record.Draining {
+			_ = level.Info(a.logger).Log("msg", "worker", "life", e.Record.ID, "draining", e.Record.Draining, "cpu", e.Record.Capacity.CPU)
 		}
 	case runner.WorkerLeft:
-		_ = level.Info(s.logger).Log("msg", "worker left", "life", e.ID)
+		_ = level.Info(a.logger).Log("msg", "worker left", "life", e.ID)
 	case runner.StartAnswered:
 		if _, ok := e.Result.(worker.Accepted); !ok {
-			_ = level.Info(s.logger).Log("msg", "start not accepted", "task", e.Name, "run", e.Run, "answer", describe(e.Result))
+			_ = level.Info(a.logger).Log("msg", "start not accepted", "task", e.Name, "run", e.Run, "answer", describe(e.Result))
 		}
 	case runner.StopAnswered:
 		if _, ok := e.Result.(worker.Accepted); !ok {
-			_ = level.Info(s.logger).Log("msg", "stop not accepted", "task", e.Name, "run", e.Run, "answer", describe(e.Result))
+			_ = level.Info(a.logger).Log("msg", "stop not accepted", "task", e.Name, "run", e.Run, "answer", describe(e.Result))
 		}
-	case runner.HoldAnswered:
+	case runner.RenewAnswered:
 		if _, ok := e.Result.(worker.Listing); !ok {
-			_ = level.Info(s.logger).Log("msg", "hold not answered", "life", e.Life, "waited", e.Waited, "answer", describe(e.Result))
+			_ = level.Info(a.logger).Log("msg", "hold not answered", "life", e.Incarnation, "waited", e.LongPoll, "answer", describe(e.Result))
 		}
 	}
 }
 
 // logEffect logs the ends of runs that are not plain successes, and the ends of sessions.
-func (s *Sidecar) logEffect(effect runner.Effect) {
+func (a *Agent) logEffect(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.SendUpdate:
 		if e.Update.Outcome != runner.OutcomeDone && e.Update.Outcome != runner.OutcomeStarted {
-			_ = level.Info(s.logger).Log("msg", "run", "task", e.Update.Name, "run", e.Update.Run, "outcome", e.Update.Outcome, "reason", e.Update.Reason)
+			_ = level.Info(a.logger).Log("msg", "run", "task", e.Update.Name, "run", e.Update.Run, "outcome", e.Update.Outcome, "reason", e.Update.Reason)
 		}
 	case runner.CloseSession:
-		_ = level.Info(s.logger).Log("msg", "closing session", "session", e.Session, "reason", e.Reason)
+		_ = level.Info(a.logger).Log("msg", "closing session", "session", e.Session, "reason", e.Reason)
 	}
 }
--- a/internal/agent/describe.go
+++ b/internal/agent/describe.go
@@ -24,11 +24,11 @@
 		return "outdated"
 	case worker.TooLate:
 		return "too_late"
-	case worker.NoRoom:
+	case worker.InsufficientResources:
 		return "no_room"
 	case worker.Unhealthy:
 		return "unhealthy"
-	case worker.OtherLife:
+	case worker.WrongIncarnation:
 		return "other_life"
 	case worker.Invalid:
 		return "invalid: " + r.Reason
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -15,92 +15,92 @@
 	"sailhead/internal/worker"
 )
 
-// putPause lies between two calls to a store that does not answer.
-const putPause = 300 * time.Millisecond
+// registerRetryPause lies between two calls to a store that does not answer.
+const registerRetryPause = 300 * time.Millisecond
 
 // register tells the store of this agent and its worker, and tells it again when the worker is another. First
 // it reads what an earlier process of the agent left: if that life of the worker still answers, there is no
 // need to wait for a heartbeat.
-func (s *Sidecar) register() {
-	earlier := s.recall()
+func (a *Agent) register() {
+	earlier := a.recall()
 	for {
-		member := s.self
-		s.mu.Lock()
-		member.Worker = s.recorded
-		s.mu.Unlock()
+		member := a.self
+		a.mu.Lock()
+		member.Worker = a.recorded
+		a.mu.Unlock()
 		if member.Worker == nil {
 			member.Worker = earlier
 		}
-		if !s.put(member) {
+		if !a.put(member) {
 			return
 		}
 		select {
-		case <-s.context.Done():
+		case <-a.context.Done():
 			return
-		case <-s.changed:
+		case <-a.changed:
 		}
 	}
 }
 
 // recall tells the runner of the worker that the agent's earlier process knew, and returns it.
-func (s *Sidecar) recall() *worker.Record {
-	earlier, ok, err := s.store.Member(s.self.Name)
+func (a *Agent) recall() *worker.Record {
+	earlier, ok, err := a.store.Member(a.self.Name)
 	switch {
 	case err != nil:
-		_ = level.Warn(s.logger).Log("msg", "unable to read the agent's earlier record", "err", err)
+		_ = level.Warn(a.logger).Log("msg", "unable to read the agent's earlier record", "err", err)
 	case ok && earlier.Worker != nil:
 		record := *earlier.Worker
 		// The reading of the clock is old, and any heartbeat is newer than the record.
 		record.Clock = 0
 		record.Sequence = 0
-		s.post(runner.WorkerRecalled{Record: record})
-		_ = level.Info(s.logger).Log("msg", "worker recalled", "life", record.ID)
+		a.post(runner.WorkerRecalled{Record: record})
+		_ = level.Info(a.logger).Log("msg", "worker recalled", "life", record.ID)
 		return &record
 	}
 	return nil
 }
 
 // put writes a record, and tries until that is done.
-func (s *Sidecar) put(member cluster.Member) bool {
+func (a *Agent) put(member cluster.Member) bool {
 	began := time.Now()
 	for tries := 1; ; tries++ {
-		err := s.store.PutMember(member)
+		err := a.store.PutMember(member)
 		if err == nil {
-			_ = level.Info(s.logger).Log("msg", "registered in the store", "worker", lifeOf(member.Worker), "tries", tries, "after", time.Since(began).Round(time.Millisecond))
+			_ = level.Info(a.logger).Log("msg", "registered in the store", "worker", incarnationOf(member.Worker), "tries", tries, "after", time.Since(began).Round(time.Millisecond))
 			return true
 		}
 		if tries == 1 {
-			_ = level.Warn(s.logger).Log("msg", "dependency lost", "dependency", "store", "err", err)
+			_ = level.Warn(a.logger).Log("msg", "dependency lost", "dependency", "store", "err", err)
 		}
 		select {
-		case <-s.context.Done():
+		case <-a.context.Done():
 			return false
-		case <-time.After(putPause + rand.N(putPause)):
+		case <-time.After(registerRetryPause + rand.N(registerRetryPause)):
 		}
 	}
 }
 
-func lifeOf(record *worker.Record) string {
+func incarnationOf(record *worker.Record) string {
 	if record == nil {
 		return ""
 	}
 	return record.ID
 }
 
-// noteWorker makes the store be told if the worker is another than it knows; the caller holds the lock.
-func (s *Sidecar) noteWorker() {
-	record, ok := s.runner.Life()
+// publishWorker makes the store be told if the worker is another than it knows; the caller holds the lock.
+func (a *Agent) publishWorker() {
+	record, ok := a.runner.Worker()
 	if !ok {
 		return
 	}
 	record.Sequence = 0
 	record.Clock = 0
-	if s.recorded != nil && reflect.DeepEqual(*s.recorded, record) {
+	if a.recorded != nil && reflect.DeepEqual(*a.recorded, record) {
 		return
 	}
-	s.recorded = &record
+	a.recorded = &record
 	select {
-	case s.changed <- struct{}{}:
+	case a.changed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -143,8 +143,8 @@
 	configurations := &platform.Configurations{}
 	entry, closeEntry := entry.New(entry.Settings{
 		Name: s.Name, Zone: s.Zone, Peers: listeners[2], Seeds: seedsOf(s), StopTimeout: s.StopTimeout, Ring: s.Ring, Jobs: s.Jobs,
-		Keep: platform.NewKeptJobs(store), StoreWrites: s.StoreWrites,
-	}, configurations, platform.NewNews(store), logger, metrics)
+		Durable: platform.NewDurableJobs(store), StoreWrites: s.StoreWrites,
+	}, configurations, platform.NewStoreWatcher(store), logger, metrics)
 	closeReady := platform.NewReadiness(listeners[1], entry)
 	ingress := platform.NewIngress(listeners[0], configurations.Current, entry)
 	return onPlatform{setSeeds: entry.SetSeeds, stop: func() error {
@@ -176,8 +176,8 @@
 // stopEntry stops an entry as planned: every request that arrives is answered. Once the balancer sends no more
 // connections and no job is under way there is no reason to wait. Where no entry is ready the balancer goes on
 // sending, and this one goes on serving to the end.
-func stopEntry(entry *entry.Frontend, ingress *platform.Ingress) error {
-	until := entry.Leave()
+func stopEntry(entry *entry.Entry, ingress *platform.Ingress) error {
+	until := entry.BeginShutdown()
 	time.Sleep(min(balancerDelay, time.Until(until)))
 	for ingress.SinceConnection() < quietTime && time.Now().Before(until) {
 		time.Sleep(pollPause)
@@ -202,7 +202,7 @@
 	agent, closeAgent := agent.New(agent.Settings{
 		Name: s.Name, Zone: s.Zone, Sessions: listeners[1], Seeds: seedsOf(s),
 		Limits: runner.DefaultLimits(s.HoldTime, s.StopTime), StopTimeout: s.StopTimeout, Ring: s.Ring,
-	}, worker, platform.NewNews(store), logger, metrics)
+	}, worker, platform.NewStoreWatcher(store), logger, metrics)
 	closeHeartbeats := platform.NewHeartbeats(listeners[0], agent)
 	return onPlatform{setSeeds: agent.SetSeeds, stop: func() error {
 		err := closeAgent()
--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -108,8 +108,8 @@
 	return true
 }
 
-// HearMember takes in what a member says of itself, also if it was given up.
-func (d *Directory) HearMember(m Member) {
+// AddAnnounced takes in what a member says of itself, also if it was given up.
+func (d *Directory) AddAnnounced(m Member) {
 	d.mu.Lock()
 	delete(d.forgotten, m.Name)
 	d.mu.Unlock()
--- a/internal/cluster/directory_test.go
+++ b/internal/cluster/directory_test.go
@@ -43,7 +43,7 @@
 	if d.AddMember(agentOf(5)) || len(d.Members(RoleAgent)) != 0 {
 		t.Fatal("another entry brought the member back")
 	}
-	d.HearMember(agentOf(5))
+	d.AddAnnounced(agentOf(5))
 	if len(d.Members(RoleAgent)) != 1 {
 		t.Fatal("the member is not heard")
 	}
@@ -99,7 +99,7 @@
 	defer closeExchanger()
 	other := NewDirectory()
 	other.SetDocument(9, []byte("broken"))
-	e.take(other.view(0, true))
+	e.apply(other.view(0, true))
 	if version, _ := d.Document(); version != 0 {
 		t.Fatalf("version %d", version)
 	}
--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -47,19 +47,19 @@
 
 // Exchange answers another entry; it serves the twirp interface.
 func (e *Exchanger) Exchange(_ context.Context, view *clusterpb.View) (*clusterpb.View, error) {
-	e.take(view)
+	e.apply(view)
 	return e.directory.view(view.Version, view.Wants), nil
 }
 
 // Announce answers a process that tells of itself; it serves the twirp interface.
 func (e *Exchanger) Announce(_ context.Context, view *clusterpb.View) (*clusterpb.View, error) {
 	for _, m := range membersOf(view) {
-		e.directory.HearMember(m)
+		e.directory.AddAnnounced(m)
 	}
 	return e.directory.view(0, false), nil
 }
 
-func (e *Exchanger) take(view *clusterpb.View) {
+func (e *Exchanger) apply(view *clusterpb.View) {
 	e.directory.addMembers(view)
 	if len(view.Document) == 0 {
 		return
@@ -78,7 +78,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "cluster: unable to exchange with %s", address)
 	}
-	e.take(answer)
+	e.apply(answer)
 	if version, _ := e.directory.Document(); version <= answer.Version {
 		return nil
 	}
--- a/internal/dispatch/agent.go
+++ b/internal/dispatch/agent.go
@@ -12,53 +12,53 @@
 
 // agent is what the dispatcher knows of an agent and its worker.
 type agent struct {
-	id     AgentID
-	record worker.Record
-	load   runner.Load
-	silent bool
+	id           AgentID
+	record       worker.Record
+	load         runner.Load
+	unresponsive bool
 	// number is the number of the last start.
 	number uint64
 	// sent are the starts that the load does not count yet, and sentRoom is what they need in all.
-	sent     []sentStart
-	sentRoom worker.Room
+	sent          []sentStart
+	sentResources worker.Resources
 }
 
 // sentStart is a start on its way to an agent.
 type sentStart struct {
 	number uint64
-	needs  worker.Room
+	needs  worker.Resources
 }
 
-// room is what is free at the worker, as far as is known here.
-func (a *agent) room() worker.Room {
-	return a.record.Capacity.Minus(a.load.Used).Minus(a.sentRoom)
+// free is what is free at the worker, as far as is known here.
+func (a *agent) free() worker.Resources {
+	return a.record.Capacity.Minus(a.load.Used).Minus(a.sentResources)
 }
 
-// seeLoad takes in a load and forgets the starts that it counts.
-func (a *agent) seeLoad(handled uint64, load runner.Load) {
+// applyLoad takes in a load and forgets the starts that it counts.
+func (a *agent) applyLoad(handled uint64, load runner.Load) {
 	a.load = load
 	kept := a.sent[:0]
 	for _, each := range a.sent {
 		if each.number > handled {
 			kept = append(kept, each)
 		} else {
-			a.sentRoom = a.sentRoom.Minus(each.needs)
+			a.sentResources = a.sentResources.Minus(each.needs)
 		}
 	}
 	a.sent = kept
 }
 
-// sends counts a start towards the worker's room and returns its number.
-func (a *agent) sends(needs worker.Room) uint64 {
+// countStart counts a start towards the worker's room and returns its number.
+func (a *agent) countStart(needs worker.Resources) uint64 {
 	a.number++
 	a.sent = append(a.sent, sentStart{number: a.number, needs: needs})
-	a.sentRoom = a.sentRoom.Plus(needs)
+	a.sentResources = a.sentResources.Plus(needs)
 	return a.number
 }
 
 // accepts reports whether tasks of a service may be placed on the worker.
 func (a *agent) accepts(service string) bool {
-	return !a.silent && a.load.Accepts && !a.load.Leaving && a.record.Service == service
+	return !a.unresponsive && a.load.Accepts && !a.load.ShuttingDown && a.record.Service == service
 }
 
 const (
@@ -68,12 +68,12 @@
 	failureLimit = 0.25
 )
 
-// isSound reports whether the worker's latest runs went well.
-func (a *agent) isSound() bool {
+// isHealthy reports whether the worker's latest runs went well.
+func (a *agent) isHealthy() bool {
 	return a.load.Slowness < slowLimit && a.load.FailureRate < failureLimit
 }
 
-// settleTime is how long after the loss of its session an agent's runs have surely ended: a living agent
+// rerunDelay is how long after the loss of its session an agent's runs have surely ended: a living agent
 // stops them at the latest when the session's time is over, a dead one's leases run out then. It is the sum of
 // both times of the runner and some more, and less than the time after which a caller comes back.
-const settleTime = 1200 * time.Millisecond
+const rerunDelay = 1200 * time.Millisecond
--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// comeBack spreads a pause, so that the return is no burst.
-func (d *Dispatcher) comeBack(pause time.Duration) time.Duration {
+// retryAfter spreads a pause, so that the return is no burst.
+func (d *Dispatcher) retryAfter(pause time.Duration) time.Duration {
 	return pause + time.Duration(d.random.Int64N(int64(pause)+1))
 }
 
@@ -24,13 +24,13 @@
 	if len(j.waiters) > 0 {
 		return
 	}
-	d.note(now, j, DecisionLeft, "")
+	d.logDecision(now, j, DecisionCallerLeft, "")
 	d.drop(now, j)
 }
 
-func (d *Dispatcher) cancel(now time.Time, e Cancelled) {
+func (d *Dispatcher) cancel(now time.Time, e CancelRequested) {
 	j, ok := d.jobs[e.Job]
-	isOwn := ok && !j.isKept
+	isOwn := ok && !j.isDurable
 	if isOwn {
 		d.finish(now, j, Interrupted{Reason: "the job was cancelled"})
 	}
@@ -44,10 +44,10 @@
 	for _, t := range j.tasks {
 		switch {
 		case t.state == taskSent:
-			d.ending[t.name] = ending{agent: t.agent}
+			d.endingRuns[t.name] = endingRun{agent: t.agent}
 			d.emit(StopTask{Agent: t.agent, Name: t.name})
-		case t.state == taskPending && now.Before(t.settled):
-			d.ending[t.name] = ending{agent: t.agent, settled: t.settled}
+		case t.state == taskPending && now.Before(t.notBefore):
+			d.endingRuns[t.name] = endingRun{agent: t.agent, endedBy: t.notBefore}
 		}
 	}
 }
@@ -55,7 +55,7 @@
 // finish answers a job at once and stops what it still runs.
 func (d *Dispatcher) finish(now time.Time, j *job, answer Answer) {
 	d.emit(Reply{Waiters: j.waiters, Answer: answer})
-	d.emit(Note{
+	d.emit(DecisionMade{
 		Decision: DecisionAnswered, Job: j.ID, Kind: j.Kind.Name, Age: now.Sub(j.arrived), Outcome: outcomeOf(answer),
 		Detail: describe(answer) + j.describeSlowest(now, answer),
 	})
@@ -90,7 +90,7 @@
 	if t.state == taskDone {
 		return text + fmt.Sprintf(" done=%s", t.ended.Sub(j.arrived).Round(time.Millisecond))
 	}
-	return text + fmt.Sprintf(" failures=%d moved=%d", t.failures, t.moved)
+	return text + fmt.Sprintf(" failures=%d moved=%d", t.failures, t.moves)
 }
 
 // endedBy is when the task was done, or now if it is not.
@@ -101,39 +101,39 @@
 	return now
 }
 
-// giveUp answers a job that will not be done.
-func (d *Dispatcher) giveUp(now time.Time, j *job, reason string) {
+// abandon answers a job that will not be done.
+func (d *Dispatcher) abandon(now time.Time, j *job, reason string) {
 	if j.mayHaveBegun() {
 		d.finish(now, j, Interrupted{Reason: reason})
 		return
 	}
-	d.finish(now, j, NotRun{Reason: reason, RetryAfter: d.comeBack(time.Second)})
+	d.finish(now, j, NotRun{Reason: reason, RetryAfter: d.retryAfter(time.Second)})
 }
 
 // expire refuses what waits too long and gives up what is worth nothing any more.
 func (d *Dispatcher) expire(now time.Time) {
 	for _, j := range slices.Clone(d.waiting) {
-		if !j.isKept && !j.mayHaveBegun() && now.After(j.refuseAt()) {
-			d.giveUp(now, j, "no worker has room in time: "+d.describeRoom(j))
+		if !j.isDurable && !j.mayHaveBegun() && now.After(j.refuseAt()) {
+			d.abandon(now, j, "no worker has room in time: "+d.describeRoom(j))
 		}
 	}
 	for _, j := range d.jobsInOrder() {
 		switch {
-		case j.isKept:
-		case now.After(j.finalAt()):
-			d.giveUp(now, j, "the job's time is over")
-		case !d.leaving.IsZero() && now.After(d.leaving):
-			d.giveUp(now, j, "the entry stops")
+		case j.isDurable:
+		case now.After(j.expiresAt()):
+			d.abandon(now, j, "the job's time is over")
+		case !d.shutdownAt.IsZero() && now.After(d.shutdownAt):
+			d.abandon(now, j, "the entry stops")
 		}
 	}
 }
 
-func (d *Dispatcher) note(now time.Time, j *job, decision Decision, detail string) {
-	d.emit(Note{Decision: decision, Job: j.ID, Kind: j.Kind.Name, Age: now.Sub(j.arrived), Detail: detail})
+func (d *Dispatcher) logDecision(now time.Time, j *job, decision Decision, detail string) {
+	d.emit(DecisionMade{Decision: decision, Job: j.ID, Kind: j.Kind.Name, Age: now.Sub(j.arrived), Detail: detail})
 }
 
-func (d *Dispatcher) noteEnd(now time.Time, j *job, t *task, e RunUpdated) {
-	d.emit(Note{
+func (d *Dispatcher) logEnd(now time.Time, j *job, t *task, e RunUpdated) {
+	d.emit(DecisionMade{
 		Decision: DecisionEnded, Job: j.ID, Task: t.name, Run: e.Update.Run, Agent: e.Agent, Kind: j.Kind.Name,
 		Age: now.Sub(j.arrived), Detail: e.Update.Outcome.String() + " " + e.Update.Reason,
 	})
@@ -145,11 +145,11 @@
 	for _, a := range d.agents {
 		if a.accepts(j.Kind.Service) {
 			accepting++
-			free += max(a.room().CPU, 0)
+			free += max(a.free().CPU, 0)
 		}
 	}
 	return fmt.Sprintf("tasks=%d needs_cpu=%d agents=%d accepting=%d free_cpu=%d waiting=%d overdue=%t patience=%s",
-		len(j.tasks), j.Steps[0].Needs.CPU, len(d.agents), accepting, free, len(d.waiting), j.overdue, j.Patience)
+		len(j.tasks), j.Steps[0].Needs.CPU, len(d.agents), accepting, free, len(d.waiting), j.lateRetry, j.RemainingTime)
 }
 
 // outcomeOf returns the word for an answer.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -27,18 +27,18 @@
 	agents  map[AgentID]*agent
 	// ordered are the agents in the order of their names.
 	ordered []*agent
-	// known is how many agents there are, also those without a session.
-	known int
+	// knownAgents is how many agents there are, also those without a session.
+	knownAgents int
 	// candidates is used by each plan anew.
 	candidates []candidate
-	// ending are the tasks of jobs that were dropped, until their runs have surely ended: the same job may come
+	// endingRuns are the tasks of jobs that were dropped, until their runs have surely ended: the same job may come
 	// again before that.
-	ending map[string]ending
-	// patience tells the callers that have come back.
-	patience patience
-	// leaving is when the process ends; nothing if it does not.
-	leaving time.Time
-	effects []Effect
+	endingRuns map[string]endingRun
+	// callerTimes tells the callers that have come back.
+	callerTimes callerTimes
+	// shutdownAt is when the process ends; nothing if it does not.
+	shutdownAt time.Time
+	effects    []Effect
 }
 
 // New returns a dispatcher without jobs and agents.
@@ -46,7 +46,7 @@
 	return &Dispatcher{
 		limits: limits, random: random,
 		jobs:   make(map[string]*job),
-		agents: make(map[AgentID]*agent), patience: make(patience), ending: make(map[string]ending),
+		agents: make(map[AgentID]*agent), callerTimes: make(callerTimes), endingRuns: make(map[string]endingRun),
 	}
 }
 
@@ -55,59 +55,59 @@
 func (d *Dispatcher) Handle(now time.Time, events ...Event) []Effect {
 	d.effects = nil
 	for _, event := range events {
-		d.take(now, event)
+		d.handleEvent(now, event)
 	}
 	d.place(now)
 	return d.effects
 }
 
-// take takes in one event.
-func (d *Dispatcher) take(now time.Time, event Event) {
+// handleEvent takes in one event.
+func (d *Dispatcher) handleEvent(now time.Time, event Event) {
 	switch e := event.(type) {
 	case Submitted:
 		d.submit(now, e)
 	case CallerLeft:
 		d.callerLeft(now, e)
-	case Cancelled:
+	case CancelRequested:
 		d.cancel(now, e)
-	case Kept:
-		d.takeKept(now, e)
-	case AgentsKnown:
-		d.known = e.Agents
-	case Dropped:
-		d.dropKept(now, e.Jobs)
-	case TaskEnded:
-		d.endKept(now, e)
-	case StateAsked:
+	case DurableAccepted:
+		d.acceptDurable(now, e)
+	case AgentsCounted:
+		d.knownAgents = e.Agents
+	case DurableDropped:
+		d.dropDurable(now, e.Jobs)
+	case DurableTaskEnded:
+		d.endDurableTask(now, e)
+	case StateRequested:
 		e.Done(d.stateOf(e.Job))
 	case AgentUp:
 		d.addAgent(&agent{id: e.Agent})
-		d.emit(Note{Decision: DecisionAgentUp, Agent: e.Agent})
-	case AgentSilent:
-		if a, ok := d.agents[e.Agent]; ok && !a.silent {
-			a.silent = true
-			d.emit(Note{Decision: DecisionSilent, Agent: e.Agent})
+		d.emit(DecisionMade{Decision: DecisionAgentUp, Agent: e.Agent})
+	case AgentUnresponsive:
+		if a, ok := d.agents[e.Agent]; ok && !a.unresponsive {
+			a.unresponsive = true
+			d.emit(DecisionMade{Decision: DecisionAgentUnresponsive, Agent: e.Agent})
 		}
-	case AgentHeard:
+	case AgentResponsive:
 		if a, ok := d.agents[e.Agent]; ok {
-			a.silent = false
+			a.unresponsive = false
 		}
 	case AgentDown:
 		d.agentDown(now, e.Agent)
-	case WorkerSeen:
+	case WorkerDescribed:
 		if a, ok := d.agents[e.Agent]; ok {
 			a.record = e.Record
-			d.emit(Note{Decision: DecisionWorker, Agent: e.Agent, Detail: e.Record.ID})
+			d.emit(DecisionMade{Decision: DecisionWorker, Agent: e.Agent, Detail: e.Record.ID})
 		}
-	case LoadSeen:
-		d.seeLoad(now, e)
+	case LoadReceived:
+		d.handleLoad(now, e)
 	case RunUpdated:
 		d.updateRun(now, e)
-	case LeaveAsked:
-		d.leaving = e.Until
+	case ShutdownRequested:
+		d.shutdownAt = e.Until
 	case Ticked:
 		d.expire(now)
-		d.forgetEnded(now)
+		d.forgetEndedRuns(now)
 		d.moveStuck(now)
 	}
 }
@@ -140,7 +140,7 @@
 func (d *Dispatcher) stateOf(id string) JobState {
 	j, ok := d.jobs[id]
 	switch {
-	case !ok || j.isKept:
+	case !ok || j.isDurable:
 		return JobUnknown
 	case j.begun:
 		return JobBegun
@@ -153,46 +153,46 @@
 	d.effects = append(d.effects, effect)
 }
 
-func (d *Dispatcher) seeLoad(now time.Time, e LoadSeen) {
+func (d *Dispatcher) handleLoad(now time.Time, e LoadReceived) {
 	a, ok := d.agents[e.Agent]
 	if !ok {
 		return
 	}
 	if a.load.Accepts != e.Load.Accepts {
-		d.emit(Note{Decision: DecisionAccepts, Agent: e.Agent, Detail: fmt.Sprint(e.Load.Accepts)})
+		d.emit(DecisionMade{Decision: DecisionAccepts, Agent: e.Agent, Detail: fmt.Sprint(e.Load.Accepts)})
 	}
 	if e.Load.Accepts && !a.load.Accepts {
-		d.agentBack(now, e.Agent)
+		d.agentRecovered(now, e.Agent)
 	}
-	a.seeLoad(e.Handled, e.Load)
+	a.applyLoad(e.Handled, e.Load)
 }
 
 func (d *Dispatcher) submit(now time.Time, e Submitted) {
-	if j, ok := d.jobs[e.Job.ID]; ok && j.isKept {
-		d.emit(Reply{Waiters: []Waiter{e.Waiter}, Answer: NotRun{Reason: "the job is kept already", RetryAfter: d.comeBack(time.Second)}})
+	if j, ok := d.jobs[e.Job.ID]; ok && j.isDurable {
+		d.emit(Reply{Waiters: []Waiter{e.Waiter}, Answer: NotRun{Reason: "the job is kept already", RetryAfter: d.retryAfter(time.Second)}})
 		return
 	} else if ok {
 		j.waiters = append(j.waiters, e.Waiter)
-		d.note(now, j, DecisionJoined, "")
+		d.logDecision(now, j, DecisionJoined, "")
 		return
 	}
 	j := newJob(now, e)
-	if reason := d.refusal(now, j); reason != "" {
-		d.finish(now, j, NotRun{Reason: reason, RetryAfter: d.comeBack(time.Second)})
+	if reason := d.refusalReason(now, j); reason != "" {
+		d.finish(now, j, NotRun{Reason: reason, RetryAfter: d.retryAfter(time.Second)})
 		return
 	}
-	j.overdue = d.patience.isOverdue(j)
+	j.lateRetry = d.callerTimes.isLateRetry(j)
 	d.jobs[j.ID] = j
 	d.enqueue(j)
-	d.note(now, j, DecisionTaken, fmt.Sprintf("tasks=%d objective=%s", len(j.tasks), j.objective.Round(time.Millisecond)))
+	d.logDecision(now, j, DecisionAccepted, fmt.Sprintf("tasks=%d objective=%s", len(j.tasks), j.objective.Round(time.Millisecond)))
 }
 
-// refusal says why a new job is not taken; nothing means that it is.
-func (d *Dispatcher) refusal(now time.Time, j *job) string {
+// refusalReason says why a new job is not taken; nothing means that it is.
+func (d *Dispatcher) refusalReason(now time.Time, j *job) string {
 	switch {
 	case len(d.jobs) >= d.limits.Jobs:
 		return "too many jobs are under way"
-	case !d.leaving.IsZero() && now.Add(j.objective).After(d.leaving):
+	case !d.shutdownAt.IsZero() && now.Add(j.objective).After(d.shutdownAt):
 		return "the entry stops before the job would end"
 	default:
 		return ""
@@ -210,13 +210,13 @@
 
 func compareJobs(a, b *job) int {
 	switch {
-	case a.offered != b.offered && a.offered:
+	case a.everSent != b.everSent && a.everSent:
 		return -1
-	case a.offered != b.offered:
+	case a.everSent != b.everSent:
 		return 1
-	case a.overdue != b.overdue && b.overdue:
+	case a.lateRetry != b.lateRetry && b.lateRetry:
 		return -1
-	case a.overdue != b.overdue:
+	case a.lateRetry != b.lateRetry:
 		return 1
 	case a.Kind.Priority != b.Kind.Priority:
 		return a.Kind.Priority - b.Kind.Priority
--- a/internal/dispatch/kept_test.go
+++ b/internal/dispatch/durable_test.go
@@ -12,10 +12,10 @@
 	"sailhead/internal/worker"
 )
 
-func keptJob(id string, tasks int) Kept {
-	return Kept{Job: Job{
+func keptJob(id string, tasks int) DurableAccepted {
+	return DurableAccepted{Job: Job{
 		ID: id, Kind: Kind{Name: "k", Service: "svc", Attempts: 2, Stretch: 1.6},
-		Steps: []Step{{Count: tasks, Needs: worker.Room{CPU: 1000}, Expected: 100 * time.Millisecond}},
+		Steps: []Step{{Count: tasks, Needs: worker.Resources{CPU: 1000}, Expected: 100 * time.Millisecond}},
 	}}
 }
 
@@ -24,8 +24,8 @@
 	d := New(Limits{Jobs: 10}, rand.New(rand.NewPCG(1, 2)))
 	for _, a := range agents {
 		d.Handle(now, AgentUp{Agent: a},
-			WorkerSeen{Agent: a, Record: worker.Record{ID: "w", Service: "svc", Capacity: worker.Room{CPU: 8000}}},
-			LoadSeen{Agent: a, Load: runner.Load{Accepts: true}})
+			WorkerDescribed{Agent: a, Record: worker.Record{ID: "w", Service: "svc", Capacity: worker.Resources{CPU: 8000}}},
+			LoadReceived{Agent: a, Load: runner.Load{Accepts: true}})
 	}
 	return d, now
 }
@@ -47,10 +47,10 @@
 		t.Fatalf("started %v", starts)
 	}
 	d.Handle(now, AgentDown{Agent: "a"})
-	if runs := d.KeptRuns(now); runs != 2 {
+	if runs := d.DurableRuns(now); runs != 2 {
 		t.Fatalf("%d runs after the loss of the agent's session", runs)
 	}
-	if runs := d.KeptRuns(now.Add(keptSettleTime)); runs != 0 {
+	if runs := d.DurableRuns(now.Add(durableRerunDelay)); runs != 0 {
 		t.Fatalf("%d runs after the time in which the agent may come back", runs)
 	}
 }
@@ -63,13 +63,13 @@
 		t.Fatalf("started %v while the agent may come back", starts)
 	}
 	now = now.Add(2 * time.Second)
-	d.Handle(now, AgentUp{Agent: from}, LoadSeen{Agent: from})
-	if starts := started(d.Handle(now.Add(settleTime), Ticked{})); len(starts) > 0 {
+	d.Handle(now, AgentUp{Agent: from}, LoadReceived{Agent: from})
+	if starts := started(d.Handle(now.Add(rerunDelay), Ticked{})); len(starts) > 0 {
 		t.Fatalf("started %v although the agent has not heard its worker", starts)
 	}
-	now = now.Add(settleTime)
-	d.Handle(now, LoadSeen{Agent: from, Load: runner.Load{Accepts: true}})
-	if starts := started(d.Handle(now.Add(settleTime), Ticked{})); len(starts) != 1 {
+	now = now.Add(rerunDelay)
+	d.Handle(now, LoadReceived{Agent: from, Load: runner.Load{Accepts: true}})
+	if starts := started(d.Handle(now.Add(rerunDelay), Ticked{})); len(starts) != 1 {
 		t.Fatalf("started %v after the agent has come back", starts)
 	}
 }
@@ -78,7 +78,7 @@
 	d, now := newKept("a")
 	d.Handle(now, keptJob("j1", 2))
 	stops := 0
-	for _, effect := range d.Handle(now, TaskEnded{Task: "j1.0.0.1"}) {
+	for _, effect := range d.Handle(now, DurableTaskEnded{Task: "j1.0.0.1"}) {
 		if stop, ok := effect.(StopTask); ok && stop.Name == "j1.0.0.1" {
 			stops++
 		}
@@ -105,7 +105,7 @@
 
 func TestAJobOfAnEarlierOwnerWaitsForAgentsWithoutASession(t *testing.T) {
 	d, now := newKept("a")
-	d.Handle(now, AgentsKnown{Agents: 2})
+	d.Handle(now, AgentsCounted{Agents: 2})
 	fresh := keptJob("fresh", 1)
 	if starts := started(d.Handle(now, fresh)); len(starts) != 1 {
 		t.Fatalf("a new job waits: %v", starts)
@@ -122,7 +122,7 @@
 	left := keptJob("left", 1)
 	left.NotBefore = now.Add(3 * time.Second)
 	d.Handle(now.Add(3*time.Second), AgentDown{Agent: "b"}, left)
-	if starts := started(d.Handle(now.Add(3*time.Second+keptSettleTime), Ticked{})); len(starts) != 1 {
+	if starts := started(d.Handle(now.Add(3*time.Second+durableRerunDelay), Ticked{})); len(starts) != 1 {
 		t.Fatalf("started %v after the time in which the agent may come back", starts)
 	}
 }
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -25,8 +25,8 @@
 type Job struct {
 	ID   string
 	Kind Kind
-	// Patience is how long the caller still waits; nothing is unknown.
-	Patience time.Duration
+	// RemainingTime is how long the caller still waits; nothing is unknown.
+	RemainingTime time.Duration
 	// Payload is what every task is told.
 	Payload string
 	Steps   []Step
@@ -50,7 +50,7 @@
 // Step is a number of equal tasks of a job.
 type Step struct {
 	Count    int
-	Needs    worker.Room
+	Needs    worker.Resources
 	Expected time.Duration
 	// After are the earlier steps that must be done first.
 	After []int
@@ -76,14 +76,14 @@
 	Waiter Waiter
 }
 
-// Cancelled is a caller's wish that a job ends.
-type Cancelled struct {
+// CancelRequested is a caller's wish that a job ends.
+type CancelRequested struct {
 	Job  string
 	Done func(known bool)
 }
 
-// StateAsked asks for the state of a job.
-type StateAsked struct {
+// StateRequested asks for the state of a job.
+type StateRequested struct {
 	Job  string
 	Done func(JobState)
 }
@@ -101,23 +101,23 @@
 // AgentUp opens a session with an agent.
 type AgentUp struct{ Agent AgentID }
 
-// AgentSilent says that nothing was heard from an agent for some time.
-type AgentSilent struct{ Agent AgentID }
+// AgentUnresponsive says that nothing was heard from an agent for some time.
+type AgentUnresponsive struct{ Agent AgentID }
 
-// AgentHeard says that a silent agent was heard again.
-type AgentHeard struct{ Agent AgentID }
+// AgentResponsive says that a silent agent was heard again.
+type AgentResponsive struct{ Agent AgentID }
 
 // AgentDown ends the session with an agent.
 type AgentDown struct{ Agent AgentID }
 
-// WorkerSeen describes the worker of an agent.
-type WorkerSeen struct {
+// WorkerDescribed describes the worker of an agent.
+type WorkerDescribed struct {
 	Agent  AgentID
 	Record worker.Record
 }
 
-// LoadSeen is the load of a worker, in which starts up to Handled are counted.
-type LoadSeen struct {
+// LoadReceived is the load of a worker, in which starts up to Handled are counted.
+type LoadReceived struct {
 	Agent   AgentID
 	Handled uint64
 	Load    runner.Load
@@ -129,25 +129,25 @@
 	Update runner.Update
 }
 
-// LeaveAsked makes the dispatcher take only jobs that end before a time.
-type LeaveAsked struct{ Until time.Time }
+// ShutdownRequested makes the dispatcher take only jobs that end before a time.
+type ShutdownRequested struct{ Until time.Time }
 
 // Ticked lets time pass.
 type Ticked struct{}
 
-func (Submitted) isEvent()   {}
-func (CallerLeft) isEvent()  {}
-func (Cancelled) isEvent()   {}
-func (StateAsked) isEvent()  {}
-func (AgentUp) isEvent()     {}
-func (AgentSilent) isEvent() {}
-func (AgentHeard) isEvent()  {}
-func (AgentDown) isEvent()   {}
-func (WorkerSeen) isEvent()  {}
-func (LoadSeen) isEvent()    {}
-func (RunUpdated) isEvent()  {}
-func (LeaveAsked) isEvent()  {}
-func (Ticked) isEvent()      {}
+func (Submitted) isEvent()         {}
+func (CallerLeft) isEvent()        {}
+func (CancelRequested) isEvent()   {}
+func (StateRequested) isEvent()    {}
+func (AgentUp) isEvent()           {}
+func (AgentUnresponsive) isEvent() {}
+func (AgentResponsive) isEvent()   {}
+func (AgentDown) isEvent()         {}
+func (WorkerDescribed) isEvent()   {}
+func (LoadReceived) isEvent()      {}
+func (RunUpdated) isEvent()        {}
+func (ShutdownRequested) isEvent() {}
+func (Ticked) isEvent()            {}
 
 // Effect is what a dispatcher wants done; the types below are all there are.
 type Effect interface{ isEffect() }
@@ -171,8 +171,8 @@
 	Name  string
 }
 
-// Note tells a decision for the log.
-type Note struct {
+// DecisionMade tells a decision for the log.
+type DecisionMade struct {
 	Decision Decision
 	Job      string
 	Task     string
@@ -186,29 +186,29 @@
 	Detail  string
 }
 
-func (Reply) isEffect()     {}
-func (StartTask) isEffect() {}
-func (StopTask) isEffect()  {}
-func (Note) isEffect()      {}
+func (Reply) isEffect()        {}
+func (StartTask) isEffect()    {}
+func (StopTask) isEffect()     {}
+func (DecisionMade) isEffect() {}
 
 // Decision names a decision in the log.
 type Decision string
 
 // The decisions that are logged.
 const (
-	DecisionTaken     Decision = "taken"
-	DecisionJoined    Decision = "joined"
-	DecisionPlaced    Decision = "placed"
-	DecisionEnded     Decision = "ended"
-	DecisionMoved     Decision = "moved"
-	DecisionAnswered  Decision = "answered"
-	DecisionLeft      Decision = "caller_left"
-	DecisionDropped   Decision = "dropped"
-	DecisionAgentUp   Decision = "agent_up"
-	DecisionSilent    Decision = "agent_silent"
-	DecisionAgentDown Decision = "agent_down"
-	DecisionWorker    Decision = "worker"
-	DecisionAccepts   Decision = "accepts"
+	DecisionAccepted          Decision = "taken"
+	DecisionJoined            Decision = "joined"
+	DecisionPlaced            Decision = "placed"
+	DecisionEnded             Decision = "ended"
+	DecisionMoved             Decision = "moved"
+	DecisionAnswered          Decision = "answered"
+	DecisionCallerLeft        Decision = "caller_left"
+	DecisionDropped           Decision = "dropped"
+	DecisionAgentUp           Decision = "agent_up"
+	DecisionAgentUnresponsive Decision = "agent_silent"
+	DecisionAgentDown         Decision = "agent_down"
+	DecisionWorker            Decision = "worker"
+	DecisionAccepts           Decision = "accepts"
 )
 
 // Outcome is the word for an answer in logs and metrics.
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -28,13 +28,13 @@
 	run   uint32
 	agent AgentID
 	// settled is when the latest run has surely ended.
-	settled  time.Time
-	failures int
+	notBefore time.Time
+	failures  int
 	// placed is when the latest run was sent, ended when the task was done, and moved how often a run was stopped to
 	// run elsewhere.
 	placed     time.Time
 	ended      time.Time
-	moved      int
+	moves      int
 	avoid      []AgentID
 	checkpoint string
 }
@@ -48,20 +48,20 @@
 	objective time.Duration
 	tasks     []*task
 	open      []int
-	// isKept is set if the job must be kept: it has no waiters and runs until it is done.
-	isKept bool
-	// restored is when the runs of a kept job's earlier owner have ended; nothing if it had none.
-	restored time.Time
-	// overdue is set if the caller seems to have come back so late that the job is worth nothing any more.
-	overdue bool
+	// isDurable is set if the job must be kept: it has no waiters and runs until it is done.
+	isDurable bool
+	// recoveredAt is when the runs of a kept job's earlier owner have ended; nothing if it had none.
+	recoveredAt time.Time
+	// lateRetry is set if the caller seems to have come back so late that the job is worth nothing any more.
+	lateRetry bool
 	// begun is set once a task may have run.
 	begun bool
-	// offered is set once a task was sent to an agent.
-	offered bool
+	// everSent is set once a task was sent to an agent.
+	everSent bool
 }
 
-// finalFactor is how many objectives after its arrival a job is worth nothing.
-const finalFactor = 3
+// expiryFactor is how many objectives after its arrival a job is worth nothing.
+const expiryFactor = 3
 
 func newJob(now time.Time, submitted Submitted) *job {
 	j := &job{Job: submitted.Job, waiters: []Waiter{submitted.Waiter}, arrived: now}
@@ -114,10 +114,10 @@
 func (d *Dispatcher) placeable(now time.Time, j *job) []*task {
 	var tasks []*task
 	for _, t := range j.tasks {
-		if _, isEnding := d.ending[t.name]; isEnding {
+		if _, isEnding := d.endingRuns[t.name]; isEnding {
 			continue
 		}
-		if t.state == taskPending && !now.Before(t.settled) && j.isReady(t.step) {
+		if t.state == taskPending && !now.Before(t.notBefore) && j.isReady(t.step) {
 			tasks = append(tasks, t)
 		}
 	}
@@ -147,17 +147,17 @@
 	return false
 }
 
-// slackShare is the part of the time between a job's chain of work and its objective in which it may wait.
-const slackShare = 0.8
+// maxWaitShare is the part of the time between a job's chain of work and its objective in which it may wait.
+const maxWaitShare = 0.8
 
 // refuseAt is when a job of which nothing was placed is refused: when it could hardly be done within its
 // objective any more.
 func (j *job) refuseAt() time.Time {
-	slack := time.Duration(slackShare * float64(j.objective-j.chain()))
+	slack := time.Duration(maxWaitShare * float64(j.objective-j.chain()))
 	return j.arrived.Add(max(slack, j.objective/4))
 }
 
-// finalAt is when a job is worth nothing any more.
-func (j *job) finalAt() time.Time {
-	return j.arrived.Add(finalFactor * j.objective)
+// expiresAt is when a job is worth nothing any more.
+func (j *job) expiresAt() time.Time {
+	return j.arrived.Add(expiryFactor * j.objective)
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -18,16 +18,16 @@
 		return
 	}
 	for _, j := range slices.Clone(d.waiting) {
-		if j.isKept && (!d.leaving.IsZero() || d.awaitsAgents(now, j)) {
+		if j.isDurable && (!d.shutdownAt.IsZero() || d.awaitsAgents(now, j)) {
 			continue
 		}
-		if j.overdue && !j.offered && d.freeShare(j.Kind.Service) < overdueShare {
+		if j.lateRetry && !j.everSent && d.freeShare(j.Kind.Service) < lateRetryFreeShare {
 			continue
 		}
 		tasks := d.placeable(now, j)
 		if len(tasks) == 0 {
-			if j.offered {
-				d.dequeueUnlessSettling(now, j)
+			if j.everSent {
+				d.dequeueUnlessPending(now, j)
 			}
 			continue
 		}
@@ -41,19 +41,19 @@
 			d.enqueue(j)
 			return
 		}
-		d.dequeueUnlessSettling(now, j)
+		d.dequeueUnlessPending(now, j)
 	}
 }
 
-// overdueShare is the part of the workers' room that must be free for jobs that come too late to be of worth.
-const overdueShare = 0.25
+// lateRetryFreeShare is the part of the workers' room that must be free for jobs that come too late to be of worth.
+const lateRetryFreeShare = 0.25
 
 // freeShare is the part of the service's room that is free.
 func (d *Dispatcher) freeShare(service string) float64 {
 	var free, capacity int
 	for _, a := range d.agents {
 		if a.accepts(service) {
-			free += max(a.room().CPU, 0)
+			free += max(a.free().CPU, 0)
 			capacity += a.record.Capacity.CPU
 		}
 	}
@@ -63,10 +63,10 @@
 	return float64(free) / float64(capacity)
 }
 
-// dequeueUnlessSettling takes a job off the waiting ones unless a task of it still has to be placed.
-func (d *Dispatcher) dequeueUnlessSettling(now time.Time, j *job) {
+// dequeueUnlessPending takes a job off the waiting ones unless a task of it still has to be placed.
+func (d *Dispatcher) dequeueUnlessPending(now time.Time, j *job) {
 	for _, t := range j.tasks {
-		if t.state == taskPending && (j.isReady(t.step) || now.Before(t.settled)) {
+		if t.state == taskPending && (j.isReady(t.step) || now.Before(t.notBefore)) {
 			return
 		}
 	}
@@ -82,7 +82,7 @@
 // candidate is an agent with the room that a plan has left there.
 type candidate struct {
 	agent *agent
-	room  worker.Room
+	free  worker.Resources
 }
 
 // plan finds room for as many of the tasks as there is, on as few workers as possible: a job suffers from
@@ -113,7 +113,7 @@
 	d.candidates = d.candidates[:0]
 	for _, a := range d.ordered {
 		if a.accepts(j.Kind.Service) {
-			d.candidates = append(d.candidates, candidate{agent: a, room: a.room()})
+			d.candidates = append(d.candidates, candidate{agent: a, free: a.free()})
 		}
 	}
 	d.random.Shuffle(len(d.candidates), func(i, k int) {
@@ -132,7 +132,7 @@
 		for _, t := range group[:count] {
 			plan = append(plan, placement{task: t, agent: best.agent})
 		}
-		best.room = best.room.Minus(step.Needs.Times(count))
+		best.free = best.free.Minus(step.Needs.Times(count))
 		group = group[count:]
 	}
 	return plan
@@ -146,7 +146,7 @@
 		if step.Label != "" && !c.agent.record.HasLabel(step.Label) {
 			continue
 		}
-		fits := step.Needs.Count(c.room, len(group))
+		fits := step.Needs.Count(c.free, len(group))
 		if step.PerWorker > 0 {
 			fits = min(fits, step.PerWorker-j.countAt(c.agent, group[0].step, plan))
 		}
@@ -183,7 +183,7 @@
 	if !slices.Contains(t.avoid, a.id) {
 		rank += 4
 	}
-	if a.isSound() {
+	if a.isHealthy() {
 		rank += 2
 	}
 	if step.Rack != "" && a.record.HasLabel(step.Rack) {
@@ -198,11 +198,11 @@
 	t.agent = a.id
 	t.placed = now
 	t.run++
-	j.offered = true
-	number := a.sends(step.Needs)
+	j.everSent = true
+	number := a.countStart(step.Needs)
 	d.emit(StartTask{Agent: a.id, Number: number, Task: runner.Task{
 		Name: t.name, Run: t.run, Payload: j.Payload, Needs: step.Needs, Checkpoint: t.checkpoint,
-		Expected: step.Expected, Priority: j.Kind.Priority, IsKept: j.isKept,
+		Expected: step.Expected, Priority: j.Kind.Priority, IsDurable: j.isDurable,
 	}})
-	d.emit(Note{Decision: DecisionPlaced, Job: j.ID, Task: t.name, Run: t.run, Agent: a.id, Kind: j.Kind.Name, Age: now.Sub(j.arrived)})
+	d.emit(DecisionMade{Decision: DecisionPlaced, Job: j.ID, Task: t.name, Run: t.run, Agent: a.id, Kind: j.Kind.Name, Age: now.Sub(j.arrived)})
 }
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -27,7 +27,7 @@
 	started bool
 	stopped bool
 	due     time.Time
-	needs   worker.Room
+	needs   worker.Resources
 }
 
 // fakeAgent is an agent that runs what it is sent, as the dispatcher may see it.
@@ -35,7 +35,7 @@
 	id      AgentID
 	up      bool
 	handled uint64
-	used    worker.Room
+	used    worker.Resources
 	tasks   map[string]*sentTask
 	// downSince is when the session ended; its tasks go on for some time after that.
 	downSince time.Time
@@ -170,7 +170,7 @@
 		Kind: Kind{Name: "kind", Service: "service", Priority: s.random.IntN(3), Attempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond},
 	}
 	for i := range 1 + s.random.IntN(2) {
-		one := Step{Count: 1 + s.random.IntN(6), Needs: worker.Room{CPU: 1000}, Expected: 150 * time.Millisecond}
+		one := Step{Count: 1 + s.random.IntN(6), Needs: worker.Resources{CPU: 1000}, Expected: 150 * time.Millisecond}
 		if i > 0 {
 			one.After = []int{0}
 		}
@@ -185,14 +185,14 @@
 	case !a.up && s.now.Sub(a.downSince) > s.millis(0, 2000):
 		*a = fakeAgent{id: a.id, up: true, tasks: make(map[string]*sentTask)}
 		s.handle(AgentUp{Agent: a.id})
-		s.handle(WorkerSeen{Agent: a.id, Record: worker.Record{ID: "w", Service: "service", Capacity: worker.Room{CPU: capacity}}})
+		s.handle(WorkerDescribed{Agent: a.id, Record: worker.Record{ID: "w", Service: "service", Capacity: worker.Resources{CPU: capacity}}})
 		s.load(a)
 	case a.up && s.chance(0.002):
 		a.up = false
 		a.downSince = s.now
 		for name := range a.tasks {
 			// The worst an agent's runs may do after the end of its session.
-			s.ghosts[name] = s.now.Add(settleTime - time.Millisecond)
+			s.ghosts[name] = s.now.Add(rerunDelay - time.Millisecond)
 		}
 		a.tasks = make(map[string]*sentTask)
 		s.handle(AgentDown{Agent: a.id})
@@ -242,7 +242,7 @@
 }
 
 func (s *schedule) load(a *fakeAgent) {
-	s.handle(LoadSeen{Agent: a.id, Handled: a.handled, Load: runner.Load{Used: a.used, Accepts: true, Slowness: 1}})
+	s.handle(LoadReceived{Agent: a.id, Handled: a.handled, Load: runner.Load{Used: a.used, Accepts: true, Slowness: 1}})
 }
 
 func (s *schedule) run(length time.Duration, submits bool) {
--- a/internal/dispatch/patience_test.go
+++ b/internal/dispatch/retry_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestCallersThatComeBackTooLateAreKnownAfterARestart(t *testing.T) {
-	p := make(patience)
+	p := make(callerTimes)
 	ask := func(left time.Duration) bool {
 		j := newJob(time.Time{}, Submitted{Job: Job{
-			Kind:     Kind{Name: "k", Stretch: 1.6, Target: 60 * time.Millisecond, Timeout: 1500 * time.Millisecond},
-			Patience: left,
-			Steps:    []Step{{Count: 2, Expected: 70 * time.Millisecond}},
+			Kind:          Kind{Name: "k", Stretch: 1.6, Target: 60 * time.Millisecond, Timeout: 1500 * time.Millisecond},
+			RemainingTime: left,
+			Steps:         []Step{{Count: 2, Expected: 70 * time.Millisecond}},
 		}})
-		return p.isOverdue(j)
+		return p.isLateRetry(j)
 	}
 	// The first callers after a restart are those that come back.
 	for range 5 {
@@ -38,12 +38,12 @@
 }
 
 func TestCallersOfShortJobsAreNotTakenForThoseThatComeBack(t *testing.T) {
-	p := make(patience)
+	p := make(callerTimes)
 	ask := func(expected, left time.Duration) bool {
-		return p.isOverdue(newJob(time.Time{}, Submitted{Job: Job{
-			Kind:     Kind{Name: "k", Stretch: 1.6, Target: 60 * time.Millisecond, Timeout: 1500 * time.Millisecond},
-			Patience: left,
-			Steps:    []Step{{Count: 2, Expected: expected}},
+		return p.isLateRetry(newJob(time.Time{}, Submitted{Job: Job{
+			Kind:          Kind{Name: "k", Stretch: 1.6, Target: 60 * time.Millisecond, Timeout: 1500 * time.Millisecond},
+			RemainingTime: left,
+			Steps:         []Step{{Count: 2, Expected: expected}},
 		}}))
 	}
 	for range 50 {
--- a/internal/dispatch/runs.go
+++ b/internal/dispatch/runs.go
@@ -15,49 +15,49 @@
 		return
 	}
 	d.removeAgent(id)
-	d.emit(Note{Decision: DecisionAgentDown, Agent: id})
-	for name, last := range d.ending {
-		if last.agent == id && last.settled.IsZero() {
-			d.ending[name] = ending{agent: id, settled: now.Add(settleTime)}
+	d.emit(DecisionMade{Decision: DecisionAgentDown, Agent: id})
+	for name, last := range d.endingRuns {
+		if last.agent == id && last.endedBy.IsZero() {
+			d.endingRuns[name] = endingRun{agent: id, endedBy: now.Add(rerunDelay)}
 		}
 	}
 	for _, j := range d.jobsInOrder() {
 		for _, t := range j.tasks {
 			if t.state == taskSent && t.agent == id {
 				j.begun = true
-				d.lose(now, j, t, j.settleTimeOf())
+				d.reschedule(now, j, t, j.rerunDelay())
 			}
 		}
 	}
 }
 
 // ending is a run of a dropped job that may go on.
-type ending struct {
+type endingRun struct {
 	agent AgentID
-	// settled is when the run has surely ended; nothing while its agent is to tell.
-	settled time.Time
+	// endedBy is when the run has surely ended; nothing while its agent is to tell.
+	endedBy time.Time
 }
 
-// forgetEnded forgets the runs of dropped jobs that have surely ended.
-func (d *Dispatcher) forgetEnded(now time.Time) {
-	for name, last := range d.ending {
-		if !last.settled.IsZero() && !now.Before(last.settled) {
-			delete(d.ending, name)
+// forgetEndedRuns forgets the runs of dropped jobs that have surely ended.
+func (d *Dispatcher) forgetEndedRuns(now time.Time) {
+	for name, last := range d.endingRuns {
+		if !last.endedBy.IsZero() && !now.Before(last.endedBy) {
+			delete(d.endingRuns, name)
 		}
 	}
 }
 
-// lose makes a task pending again after a pause.
-func (d *Dispatcher) lose(now time.Time, j *job, t *task, pause time.Duration) {
+// reschedule makes a task pending again after a pause.
+func (d *Dispatcher) reschedule(now time.Time, j *job, t *task, pause time.Duration) {
 	t.state = taskPending
-	t.settled = now.Add(pause)
+	t.notBefore = now.Add(pause)
 	d.enqueue(j)
 }
 
 func (d *Dispatcher) updateRun(now time.Time, e RunUpdated) {
-	if last, ok := d.ending[e.Update.Name]; ok && last.agent == e.Agent {
+	if last, ok := d.endingRuns[e.Update.Name]; ok && last.agent == e.Agent {
 		if e.Update.Outcome.IsEnd() {
-			delete(d.ending, e.Update.Name)
+			delete(d.endingRuns, e.Update.Name)
 		}
 		return
 	}
@@ -67,10 +67,10 @@
 	}
 	t.run = max(t.run, e.Update.Run)
 	if e.Update.Outcome.IsEnd() {
-		d.noteEnd(now, j, t, e)
+		d.logEnd(now, j, t, e)
 	}
-	if j.isKept {
-		d.updateKept(now, j, t, e)
+	if j.isDurable {
+		d.updateDurableRun(now, j, t, e)
 		return
 	}
 	if e.Update.Outcome != runner.OutcomeNotStarted {
@@ -89,10 +89,10 @@
 	case runner.OutcomeFailed:
 		d.fail(now, j, t, e.Agent)
 	case runner.OutcomeNotStarted:
-		d.lose(now, j, t, 0)
+		d.reschedule(now, j, t, 0)
 	case runner.OutcomeStopped, runner.OutcomeLost:
 		t.checkpoint = e.Update.Checkpoint
-		d.lose(now, j, t, 0)
+		d.reschedule(now, j, t, 0)
 	}
 }
 
@@ -104,14 +104,14 @@
 	t.failures++
 	t.avoid = append(t.avoid, id)
 	allowed := max(j.Kind.Attempts, 1)
-	if a, ok := d.agents[id]; ok && !a.isSound() {
+	if a, ok := d.agents[id]; ok && !a.isHealthy() {
 		allowed += extraAttempts
 	}
 	if t.failures >= allowed {
 		d.finish(now, j, Failed{})
 		return
 	}
-	d.lose(now, j, t, 0)
+	d.reschedule(now, j, t, 0)
 }
 
 // JobOf returns the job of a task's name.
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -56,7 +56,7 @@
 	case "agent":
 		agent = AgentID(d.CmdArgs[0].Key)
 		s.handle(AgentUp{Agent: agent})
-		s.handle(WorkerSeen{Agent: agent, Record: worker.Record{ID: "w", Service: "svc", Capacity: worker.Room{CPU: number(d, "cpu", 8000)}}})
+		s.handle(WorkerDescribed{Agent: agent, Record: worker.Record{ID: "w", Service: "svc", Capacity: worker.Resources{CPU: number(d, "cpu", 8000)}}})
 		return s.load(agent, d)
 	case "load":
 		return s.load(AgentID(d.CmdArgs[0].Key), d)
@@ -72,13 +72,13 @@
 	case "down":
 		return s.handle(AgentDown{Agent: AgentID(d.CmdArgs[0].Key)})
 	case "silent":
-		return s.handle(AgentSilent{Agent: AgentID(d.CmdArgs[0].Key)})
+		return s.handle(AgentUnresponsive{Agent: AgentID(d.CmdArgs[0].Key)})
 	case "heard":
-		return s.handle(AgentHeard{Agent: AgentID(d.CmdArgs[0].Key)})
+		return s.handle(AgentResponsive{Agent: AgentID(d.CmdArgs[0].Key)})
 	case "left":
 		return s.handle(CallerLeft{Job: d.CmdArgs[0].Key, Waiter: Waiter(number(d, "waiter", 0))})
 	case "leave":
-		return s.handle(LeaveAsked{Until: s.now.Add(time.Duration(number(d, "ms", 0)) * time.Millisecond)})
+		return s.handle(ShutdownRequested{Until: s.now.Add(time.Duration(number(d, "ms", 0)) * time.Millisecond)})
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
 		return ""
@@ -104,8 +104,8 @@
 }
 
 func (s *script) load(agent AgentID, d *datadriven.TestData) string {
-	return s.handle(LoadSeen{Agent: agent, Handled: s.numbers[agent], Load: runner.Load{
-		Used: worker.Room{CPU: number(d, "used", 0)}, Accepts: !d.HasArg("refuses"),
+	return s.handle(LoadReceived{Agent: agent, Handled: s.numbers[agent], Load: runner.Load{
+		Used: worker.Resources{CPU: number(d, "used", 0)}, Accepts: !d.HasArg("refuses"),
 		Slowness: float64(number(d, "slowness", 1)), FailureRate: float64(number(d, "failures", 0)) / 100,
 	}})
 }
@@ -113,14 +113,14 @@
 func (s *script) submit(d *datadriven.TestData) string {
 	s.waiter++
 	job := Job{
-		ID: d.CmdArgs[0].Key, Payload: "p", Patience: time.Duration(number(d, "patience", 0)) * time.Millisecond,
+		ID: d.CmdArgs[0].Key, Payload: "p", RemainingTime: time.Duration(number(d, "patience", 0)) * time.Millisecond,
 		Kind: Kind{
 			Name: "kind", Service: "svc", Priority: number(d, "priority", 0), Attempts: number(d, "attempts", 2),
 			Stretch: 1.6, Target: 60 * time.Millisecond, Timeout: 1500 * time.Millisecond,
 		},
 	}
 	step := Step{
-		Count: number(d, "tasks", 1), Needs: worker.Room{CPU: number(d, "cpu", 1000)},
+		Count: number(d, "tasks", 1), Needs: worker.Resources{CPU: number(d, "cpu", 1000)},
 		Expected: time.Duration(number(d, "expected", 100)) * time.Millisecond, PerWorker: number(d, "per_worker", 0),
 	}
 	job.Steps = append(job.Steps, step)
@@ -143,7 +143,7 @@
 			fmt.Fprintf(&out, "stop %s at %s\n", e.Name, e.Agent)
 		case Reply:
 			fmt.Fprintf(&out, "reply to %v: %s\n", e.Waiters, describe(e.Answer))
-		case Note:
+		case DecisionMade:
 			if s.tells && e.Decision == DecisionAnswered {
 				fmt.Fprintf(&out, "note %s after %s: %s\n", e.Job, e.Age, e.Detail)
 			}
--- a/internal/durable/owners.go
+++ b/internal/durable/client.go
@@ -28,41 +28,41 @@
 	ownerConnections = 8
 )
 
-// Owners calls the owners of shards at other entries.
-type Owners struct {
+// Client calls the owners of shards at other entries.
+type Client struct {
 	client *http.Client
 }
 
-// NewOwners returns a client of other entries. The clean-up closes its connections.
-func NewOwners() (*Owners, func()) {
+// NewClient returns a client of other entries. The clean-up closes its connections.
+func NewClient() (*Client, func()) {
 	transport := &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		IdleConnTimeout: idleTimeout, MaxIdleConnsPerHost: ownerConnections, DisableCompression: true,
 	}
-	return &Owners{client: &http.Client{Transport: transport, Timeout: ownerTimeout}}, transport.CloseIdleConnections
+	return &Client{client: &http.Client{Transport: transport, Timeout: ownerTimeout}}, transport.CloseIdleConnections
 }
 
-func (o *Owners) at(address string) durablepb.Keep {
+func (o *Client) at(address string) durablepb.Keep {
 	return durablepb.NewKeepProtobufClient("http://"+address, o.client)
 }
 
 // Submit hands a job to the owner at an address.
-func (o *Owners) Submit(ctx context.Context, address string, job dispatch.Job) Answer {
+func (o *Client) Submit(ctx context.Context, address string, job dispatch.Job) Answer {
 	return toAnswer(o.at(address).Submit(ctx, PackJob(job)))
 }
 
 // State asks the owner at an address for the state of a job.
-func (o *Owners) State(ctx context.Context, address, id string) Answer {
+func (o *Client) State(ctx context.Context, address, id string) Answer {
 	return toAnswer(o.at(address).State(ctx, &durablepb.JobRequest{Id: id}))
 }
 
 // Cancel asks the owner at an address to end a job.
-func (o *Owners) Cancel(ctx context.Context, address, id string) Answer {
+func (o *Client) Cancel(ctx context.Context, address, id string) Answer {
 	return toAnswer(o.at(address).Cancel(ctx, &durablepb.JobRequest{Id: id}))
 }
 
 // Pending asks the entry at an address for its number of jobs that have not begun; ok is false if it does not answer.
-func (o *Owners) Pending(ctx context.Context, address, kind string) (jobs int, ok bool) {
+func (o *Client) Pending(ctx context.Context, address, kind string) (jobs int, ok bool) {
 	answer, err := o.at(address).Pending(ctx, &durablepb.PendingRequest{Kind: kind})
 	if err != nil || answer.Incomplete {
 		return 0, false
@@ -71,7 +71,7 @@
 }
 
 // Surrender asks the entry at an address to give a shard up, and reports whether it surely has, or has ended.
-func (o *Owners) Surrender(ctx context.Context, address string, shard Shard, token Token) bool {
+func (o *Client) Surrender(ctx context.Context, address string, shard Shard, token Token) bool {
 	_, err := o.at(address).Surrender(ctx, &durablepb.SurrenderRequest{Shard: uint32(shard), Token: int64(token)})
 	return err == nil || errors.Is(err, syscall.ECONNREFUSED)
 }
@@ -90,49 +90,49 @@
 }
 
 // Asked serves what other entries ask of an owner.
-type Asked interface {
-	// AskHere posts an event with a waiter and returns the answer.
-	AskHere(ctx context.Context, event func(Waiter) Event) Answer
-	// PendingHere counts the jobs of a kind that are owned here and have not begun.
-	PendingHere(ctx context.Context, kind string) (jobs int, isComplete bool)
-	// SurrenderHere gives a shard up, and returns once nothing more is started for it.
-	SurrenderHere(ctx context.Context, shard Shard, token Token)
+type LocalCoordinator interface {
+	// AskLocal posts an event with a waiter and returns the answer.
+	AskLocal(ctx context.Context, event func(Waiter) Event) Answer
+	// PendingLocal counts the jobs of a kind that are owned here and have not begun.
+	PendingLocal(ctx context.Context, kind string) (jobs int, isComplete bool)
+	// SurrenderLocal gives a shard up, and returns once nothing more is started for it.
+	SurrenderLocal(ctx context.Context, shard Shard, token Token)
 }
 
 // Server serves the twirp interface of owners.
-type Server struct{ asked Asked }
+type Server struct{ local LocalCoordinator }
 
 // NewServer returns the handler of what other entries ask.
-func NewServer(asked Asked) http.Handler {
-	return durablepb.NewKeepServer(&Server{asked: asked})
+func NewServer(asked LocalCoordinator) http.Handler {
+	return durablepb.NewKeepServer(&Server{local: asked})
 }
 
 // Submit takes a job from another entry.
 func (s *Server) Submit(ctx context.Context, packed *durablepb.Job) (*durablepb.Answer, error) {
 	job := UnpackJob(packed)
-	return PackAnswer(s.asked.AskHere(ctx, func(w Waiter) Event { return Submitted{Job: job, Waiter: w} })), nil
+	return PackAnswer(s.local.AskLocal(ctx, func(w Waiter) Event { return Submitted{Job: job, Waiter: w} })), nil
 }
 
 // State tells the state of a job.
 func (s *Server) State(ctx context.Context, r *durablepb.JobRequest) (*durablepb.Answer, error) {
-	return PackAnswer(s.asked.AskHere(ctx, func(w Waiter) Event { return StateAsked{Job: r.Id, Waiter: w} })), nil
+	return PackAnswer(s.local.AskLocal(ctx, func(w Waiter) Event { return StateRequested{Job: r.Id, Waiter: w} })), nil
 }
 
 // Cancel ends a job.
 func (s *Server) Cancel(ctx context.Context, r *durablepb.JobRequest) (*durablepb.Answer, error) {
-	return PackAnswer(s.asked.AskHere(ctx, func(w Waiter) Event { return CancelAsked{Job: r.Id, Waiter: w} })), nil
+	return PackAnswer(s.local.AskLocal(ctx, func(w Waiter) Event { return CancelRequested{Job: r.Id, Waiter: w} })), nil
 }
 
 // Pending counts jobs that have not begun.
 func (s *Server) Pending(ctx context.Context, r *durablepb.PendingRequest) (*durablepb.PendingResponse, error) {
-	jobs, isComplete := s.asked.PendingHere(ctx, r.Kind)
+	jobs, isComplete := s.local.PendingLocal(ctx, r.Kind)
 	return &durablepb.PendingResponse{Jobs: uint32(jobs), Incomplete: !isComplete}, nil
 }
 
 // Surrender gives a shard up.
 func (s *Server) Surrender(ctx context.Context, r *durablepb.SurrenderRequest) (*durablepb.SurrenderResponse, error) {
 	if r.Shard < Shards {
-		s.asked.SurrenderHere(ctx, Shard(r.Shard), Token(r.Token))
+		s.local.SurrenderLocal(ctx, Shard(r.Shard), Token(r.Token))
 	}
 	return &durablepb.SurrenderResponse{}, nil
 }
--- a/internal/durable/commit.go
+++ b/internal/durable/commit.go
@@ -28,35 +28,35 @@
 }
 
 // commitDue begins a commit, or tries it again.
-func (k *Keeper) commitDue(now time.Time) {
-	if k.commit != nil {
-		if !k.commit.retryAt.IsZero() && !now.Before(k.commit.retryAt) {
-			k.commit.retryAt = time.Time{}
-			k.emit(k.commit.commit)
+func (c *Coordinator) commitDue(now time.Time) {
+	if c.commit != nil {
+		if !c.commit.retryAt.IsZero() && !now.Before(c.commit.retryAt) {
+			c.commit.retryAt = time.Time{}
+			c.emit(c.commit.commit)
 		}
 		return
 	}
-	if now.Sub(k.committed) >= k.commitPause() {
-		k.beginCommit(now)
+	if now.Sub(c.lastCommit) >= c.commitPause() {
+		c.beginCommit(now)
 	}
 }
 
 // commitPause is the shortest time between two commits here: the entries share what they may make.
-func (k *Keeper) commitPause() time.Duration {
-	return time.Duration(max(len(k.entries), 1)) * time.Second / time.Duration(max(k.limits.Commits, 1))
+func (c *Coordinator) commitPause() time.Duration {
+	return time.Duration(max(len(c.entries), 1)) * time.Second / time.Duration(max(c.limits.Commits, 1))
 }
 
-func (k *Keeper) beginCommit(now time.Time) {
-	k.number++
-	open := &openCommit{commit: Commit{Number: k.number}}
+func (c *Coordinator) beginCommit(now time.Time) {
+	c.number++
+	open := &openCommit{commit: Commit{Number: c.number}}
 	removals := maxRemovals
-	for i := range k.shards {
+	for i := range c.shards {
 		// Begin with another shard each time, so that none waits for the others for ever.
-		s := k.shards[(uint64(i)+k.number)%Shards]
+		s := c.shards[(uint64(i)+c.number)%Shards]
 		if s.state != owning || len(s.pending) == 0 || len(open.commit.Parts) >= maxParts {
 			continue
 		}
-		changes := s.takePending()
+		changes := s.nextBatch()
 		part := Part{Shard: s.number, Token: s.token, Sequence: s.next, Data: encodeBatch(recordsOf(changes))}
 		s.next++
 		count := min(removals, len(s.removable))
@@ -70,41 +70,41 @@
 	if len(open.commit.Parts) == 0 {
 		return
 	}
-	k.commit, k.committed = open, now
-	k.emit(open.commit)
+	c.commit, c.lastCommit = open, now
+	c.emit(open.commit)
 }
 
 func recordsOf(changes []*change) []*durablepb.Record {
 	records := make([]*durablepb.Record, 0, len(changes))
-	for _, c := range changes {
-		records = append(records, c.record)
+	for _, ch := range changes {
+		records = append(records, ch.record)
 	}
 	return records
 }
 
-func (k *Keeper) commitAnswered(now time.Time, e Committed) {
-	open := k.commit
+func (c *Coordinator) commitAnswered(now time.Time, e Committed) {
+	open := c.commit
 	if open == nil || open.commit.Number != e.Number {
 		return
 	}
 	switch result := e.Result.(type) {
 	case CommitDone:
-		k.commit = nil
+		c.commit = nil
 		for i, part := range open.commit.Parts {
-			k.partWritten(now, part, open.changes[i])
+			c.partWritten(now, part, open.changes[i])
 		}
-		k.answerLooks(now)
+		c.answerStateQueries(now)
 	case CommitDeposed:
-		k.commit = nil
-		k.deposed(open, result.Shards)
+		c.commit = nil
+		c.deposed(open, result.Shards)
 	default:
 		open.retryAt = now.Add(unknownPause)
 	}
 }
 
 // partWritten takes in that a batch is written.
-func (k *Keeper) partWritten(now time.Time, part Part, changes []*change) {
-	s := k.shards[part.Shard]
+func (c *Coordinator) partWritten(now time.Time, part Part, changes []*change) {
+	s := c.shards[part.Shard]
 	if s.token != part.Token || !s.isHeld() {
 		return
 	}
@@ -112,46 +112,46 @@
 	for _, removed := range part.Remove {
 		delete(s.live, removed)
 	}
-	for _, c := range changes {
-		s.apply(now, c.record, part.Sequence)
-		k.changeWritten(c)
+	for _, ch := range changes {
+		s.apply(now, ch.record, part.Sequence)
+		c.changeWritten(ch)
 	}
 	if part.Releases {
-		k.note(s, "shard_released", "")
+		c.logDecision(s, "shard_released", "")
 		s.clear()
 	}
 }
 
-func (k *Keeper) changeWritten(c *change) {
-	for _, effect := range c.effects {
-		k.emit(effect)
+func (c *Coordinator) changeWritten(ch *change) {
+	for _, effect := range ch.effects {
+		c.emit(effect)
 	}
-	j := c.job
+	j := ch.job
 	if j == nil {
 		return
 	}
 	j.unwritten--
-	if c.record.GetAccepted() != nil && !j.state.IsEnd() {
-		k.emit(ToDispatcher{Event: j.kept(time.Time{})})
+	if ch.record.GetAccepted() != nil && !j.state.IsEnd() {
+		c.emit(ToDispatcher{Event: j.forDispatcher(time.Time{})})
 	}
 	if j.state.IsEnd() && j.unwritten > 0 {
 		return
 	}
 	for _, waiter := range j.waiters {
-		k.emit(Reply{Waiter: waiter, Answer: Known{State: j.shown()}})
+		c.emit(Reply{Waiter: waiter, Answer: Known{State: j.visibleState()}})
 	}
 	j.waiters = nil
 }
 
 // deposed takes in that nothing of a commit is written since shards were lost: they are given up, and what the others
 // had to write waits for the next commit, under the same numbers.
-func (k *Keeper) deposed(open *openCommit, lost []Shard) {
+func (c *Coordinator) deposed(open *openCommit, lost []Shard) {
 	for i, part := range open.commit.Parts {
-		s := k.shards[part.Shard]
+		s := c.shards[part.Shard]
 		switch {
 		case s.token != part.Token || !s.isHeld():
 		case slices.Contains(lost, part.Shard):
-			k.lose(s, "the store holds another claim")
+			c.loseShard(s, "the store holds another claim")
 		default:
 			s.next = part.Sequence
 			s.removable = append(s.removable, part.Remove...)
--- a/internal/durable/coordinator.go
+++ b/internal/durable/coordinator.go
@@ -26,123 +26,123 @@
 	driftDivisor = 20
 	// rankPause is how much longer an entry waits than the one before it until it claims a shard that nobody owns.
 	rankPause = 400 * time.Millisecond
-	// restoreWait is how long after an earlier owner has surely stopped the jobs of a shard go on: agents stop its
+	// rerunDelay is how long after an earlier owner has surely stopped the jobs of a shard go on: agents stop its
 	// runs within the time of a session, and tell of ends that nobody has noted.
-	restoreWait = 2500 * time.Millisecond
+	rerunDelay = 2500 * time.Millisecond
 )
 
-// Keeper owns shards of the jobs that must be kept. It is not safe for concurrent use.
-type Keeper struct {
+// Coordinator owns shards of the jobs that must be kept. It is not safe for concurrent use.
+type Coordinator struct {
 	self   Claim
 	limits Limits
 	shards [Shards]*shard
 	lease  heldLease
-	// wanted is set once there are jobs that must be kept, and current once the store was read.
-	wanted  bool
-	current bool
-	// since is when jobs that must be kept were first known.
-	since   time.Time
-	entries []string
-	// leaving is when the shards must be given up; nothing if the process goes on.
-	leaving   time.Time
-	commit    *openCommit
-	committed time.Time
-	number    uint64
-	// looks are the questions for states that wait for an end.
-	looks   []look
-	effects []Effect
+	// active is set once there are jobs that must be kept, and current once the store was read.
+	active    bool
+	storeRead bool
+	// activeSince is when jobs that must be kept were first known.
+	activeSince time.Time
+	entries     []string
+	// shutdownAt is when the shards must be given up; nothing if the process goes on.
+	shutdownAt time.Time
+	commit     *openCommit
+	lastCommit time.Time
+	number     uint64
+	// stateQueries are the questions for states that wait for an end.
+	stateQueries []stateQuery
+	effects      []Effect
 }
 
 // New returns a keeper of an entry. Self names the entry as its claims do.
-func New(self Claim, limits Limits) *Keeper {
-	k := &Keeper{self: self, limits: limits}
-	for i := range k.shards {
-		k.shards[i] = newShard(Shard(i))
+func New(self Claim, limits Limits) *Coordinator {
+	c := &Coordinator{self: self, limits: limits}
+	for i := range c.shards {
+		c.shards[i] = newShard(Shard(i))
 	}
-	return k
+	return c
 }
 
 // Handle takes in an event and returns its effects in order.
-func (k *Keeper) Handle(now time.Time, event Event) []Effect {
-	k.effects = nil
-	k.expireLease(now)
+func (c *Coordinator) Handle(now time.Time, event Event) []Effect {
+	c.effects = nil
+	c.expireLease(now)
 	switch e := event.(type) {
 	case Submitted:
-		k.submit(e)
-	case CancelAsked:
-		k.cancel(e)
-	case StateAsked:
-		k.look(now, e)
-	case PendingAsked:
-		e.Done(k.pending(e.Kind))
-	case OwnerWanted:
-		k.want(now)
+		c.submit(e)
+	case CancelRequested:
+		c.cancel(e)
+	case StateRequested:
+		c.queryState(now, e)
+	case PendingRequested:
+		e.Done(c.pending(e.Kind))
+	case ActivationRequested:
+		c.activate(now)
 	case TaskEnded:
-		k.taskEnded(e)
+		c.taskEnded(e)
 	case JobBegun:
-		if j, ok := k.shards[ShardOf(e.Job)].jobs[e.Job]; ok {
+		if j, ok := c.shards[ShardOf(e.Job)].jobs[e.Job]; ok {
 			j.begun = true
 		}
-	case EntriesSeen:
-		k.entries = e.Names
+	case EntriesChanged:
+		c.entries = e.Names
 	case StoreRead:
-		k.current = true
-		if e.Kept {
-			k.want(now)
+		c.storeRead = true
+		if e.HasJobs {
+			c.activate(now)
 		}
-	case ClaimSeen:
-		k.seeClaim(now, e.Claim)
+	case ClaimObserved:
+		c.observeClaim(now, e.Claim)
 	case ClaimGone:
-		k.claimGone(now, e)
+		c.claimGone(now, e)
 	case LeaseAnswered:
-		k.leaseAnswered(e)
+		c.leaseAnswered(e)
 	case ClaimAnswered:
-		k.claimAnswered(now, e)
+		c.claimAnswered(now, e)
 	case Loaded:
-		k.loaded(now, e)
+		c.loaded(now, e)
 	case Committed:
-		k.commitAnswered(now, e)
-	case SurrenderAsked:
-		k.surrender(e)
+		c.commitAnswered(now, e)
+	case SurrenderRequested:
+		c.surrender(e)
 	case Surrendered:
-		k.surrendered(now, e)
-	case LeaveAsked:
-		k.leaving = e.Until
+		c.surrendered(now, e)
+	case ShutdownRequested:
+		c.shutdownAt = e.Until
 	case Ticked:
-		k.tick(now, e)
+		c.tick(now, e)
 	}
-	k.commitDue(now)
-	return k.effects
+	c.commitDue(now)
+	return c.effects
 }
 
 // Expire gives everything up if the lease may have run out, as after a pause of the process.
-func (k *Keeper) Expire(now time.Time) []Effect {
-	k.effects = nil
-	k.expireLease(now)
-	return k.effects
+func (c *Coordinator) Expire(now time.Time) []Effect {
+	c.effects = nil
+	c.expireLease(now)
+	return c.effects
 }
 
-func (k *Keeper) emit(effect Effect) { k.effects = append(k.effects, effect) }
+func (c *Coordinator) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-func (k *Keeper) note(s *shard, decision, detail string) {
-	k.emit(Note{Decision: decision, Shard: s.number, Token: s.token, Detail: detail})
+func (c *Coordinator) logDecision(s *shard, decision, detail string) {
+	c.emit(DecisionMade{Decision: decision, Shard: s.number, Token: s.token, Detail: detail})
 }
 
 // IsActive reports whether there may be jobs that must be kept.
-func (k *Keeper) IsActive() bool { return k.wanted }
+func (c *Coordinator) IsActive() bool { return c.active }
 
 // Owner returns who owns a job's shard, as far as is known here.
-func (k *Keeper) Owner(job string) (claim Claim, ok bool) {
-	return k.OwnerOf(ShardOf(job))
+func (c *Coordinator) Owner(job string) (claim Claim, ok bool) {
+	return c.OwnerOf(ShardOf(job))
 }
 
 // OwnerOf returns who owns a shard, as far as is known here.
-func (k *Keeper) OwnerOf(shard Shard) (claim Claim, ok bool) {
-	s := k.shards[shard]
+func (c *Coordinator) OwnerOf(shard Shard) (claim Claim, ok bool) {
+	s := c.shards[shard]
 	switch {
 	case s.state == owning && !s.releasing:
-		return k.self, true
-	case s.claim != nil && s.claim.Owner != k.self.Owner:
+		return c.self, true
+	case s.claim != nil && s.claim.Owner != c.self.Owner:
 		return *s.claim, true
 	default:
 		return Claim{}, false
@@ -150,11 +150,11 @@
 }
 
 // Owners returns the addresses of the entries that own shards, but for this one.
-func (k *Keeper) Owners() []string {
+func (c *Coordinator) Owners() []string {
 	var addresses []string
 	known := make(map[string]bool)
-	for _, s := range k.shards {
-		if s.claim != nil && s.claim.Owner != k.self.Owner && !known[s.claim.Address] {
+	for _, s := range c.shards {
+		if s.claim != nil && s.claim.Owner != c.self.Owner && !known[s.claim.Address] {
 			known[s.claim.Address] = true
 			addresses = append(addresses, s.claim.Address)
 		}
@@ -163,8 +163,8 @@
 }
 
 // Counts returns the numbers of shards that are owned here, and of their jobs under way.
-func (k *Keeper) Counts() (shards, jobs int) {
-	for _, s := range k.shards {
+func (c *Coordinator) Counts() (shards, jobs int) {
+	for _, s := range c.shards {
 		if s.state == owning {
 			shards++
 			jobs += s.open
@@ -173,29 +173,29 @@
 	return shards, jobs
 }
 
-// want begins to claim shards: there are jobs that must be kept.
-func (k *Keeper) want(now time.Time) {
-	if !k.wanted {
-		k.wanted, k.since = true, now
+// activate begins to claim shards: there are jobs that must be kept.
+func (c *Coordinator) activate(now time.Time) {
+	if !c.active {
+		c.active, c.activeSince = true, now
 	}
 }
 
-func (k *Keeper) tick(now time.Time, e Ticked) {
-	if !k.leaving.IsZero() {
-		k.release(now, e.KeptRuns)
+func (c *Coordinator) tick(now time.Time, e Ticked) {
+	if !c.shutdownAt.IsZero() {
+		c.releaseShards(now, e.DurableRuns)
 	}
-	if !k.wanted {
+	if !c.active {
 		return
 	}
-	k.renewLease(now)
-	k.answerLooks(now)
-	for _, s := range k.shards {
+	c.renewLease(now)
+	c.answerStateQueries(now)
+	for _, s := range c.shards {
 		switch {
-		case s.state == unowned && k.mayClaim(now, s):
-			k.callClaim(now, s)
-		case s.state == loading && now.Sub(s.tried) >= 4*retryPause:
-			k.load(now, s)
+		case s.state == unowned && c.mayClaim(now, s):
+			c.callClaim(now, s)
+		case s.state == loading && now.Sub(s.lastTry) >= 4*retryPause:
+			c.load(now, s)
 		}
-		s.forgetEnded(now.Add(-k.limits.StatusTime))
+		s.forgetEnded(now.Add(-c.limits.StatusTime))
 	}
 }
--- a/internal/durable/coordinator_test.go
+++ b/internal/durable/coordinator_test.go
@@ -15,16 +15,16 @@
 var testStart = time.Unix(1_000_000, 0)
 
 // newOwner returns a keeper with a lease that has claimed the shard of a job and not read it yet.
-func newOwner(job string) (*Keeper, Shard) {
-	k := New(Claim{Owner: "entry-0", Address: "a", Incarnation: 1}, Limits{Jobs: 160, StatusTime: time.Minute, LeaseTime: 6 * time.Second, Commits: 1000})
-	k.Handle(testStart, OwnerWanted{})
-	k.Handle(testStart, StoreRead{})
-	k.Handle(testStart, Ticked{})
-	k.Handle(testStart, LeaseAnswered{Asked: testStart, Result: LeaseGranted{Lease: 7, Time: 6 * time.Second}})
-	k.Handle(testStart, Ticked{})
+func newOwner(job string) (*Coordinator, Shard) {
+	c := New(Claim{Owner: "entry-0", Address: "a", Incarnation: 1}, Limits{Jobs: 160, StatusTime: time.Minute, LeaseTime: 6 * time.Second, Commits: 1000})
+	c.Handle(testStart, ActivationRequested{})
+	c.Handle(testStart, StoreRead{})
+	c.Handle(testStart, Ticked{})
+	c.Handle(testStart, LeaseAnswered{Sent: testStart, Result: LeaseGranted{Lease: 7, Time: 6 * time.Second}})
+	c.Handle(testStart, Ticked{})
 	shard := ShardOf(job)
-	k.Handle(testStart, ClaimAnswered{Shard: shard, Lease: 7, Result: ClaimWon{Token: 20}})
-	return k, shard
+	c.Handle(testStart, ClaimAnswered{Shard: shard, Lease: 7, Result: ClaimWon{Token: 20}})
+	return c, shard
 }
 
 // find returns the first effect of a type.
@@ -43,12 +43,12 @@
 
 func TestAJobIsToldAsKeptOnlyOnceItIsWritten(t *testing.T) {
 	const id = "00000000000000aa"
-	k, shard := newOwner(id)
-	if commit, ok := find[Commit](k.Handle(testStart, Loaded{Shard: shard, Token: 20})); ok {
-		k.Handle(testStart, Committed{Number: commit.Number, Result: CommitDone{}})
+	c, shard := newOwner(id)
+	if commit, ok := find[Commit](c.Handle(testStart, Loaded{Shard: shard, Token: 20})); ok {
+		c.Handle(testStart, Committed{Number: commit.Number, Result: CommitDone{}})
 	}
 	now := testStart.Add(time.Second)
-	effects := k.Handle(now, Submitted{Job: testJob(id), Waiter: 1})
+	effects := c.Handle(now, Submitted{Job: testJob(id), Waiter: 1})
 	if _, ok := find[Reply](effects); ok {
 		t.Fatal("answered before the write")
 	}
@@ -56,13 +56,13 @@
 		commit, ok := find[Commit](effects)
 		if !ok {
 			now = now.Add(time.Second / 100)
-			effects = k.Handle(now, Ticked{})
+			effects = c.Handle(now, Ticked{})
 			if now.After(testStart.Add(3 * time.Second)) {
 				t.Fatal("no answer after the write")
 			}
 			continue
 		}
-		effects = k.Handle(now, Committed{Number: commit.Number, Result: CommitDone{}})
+		effects = c.Handle(now, Committed{Number: commit.Number, Result: CommitDone{}})
 		if reply, ok := find[Reply](effects); ok {
 			if reply.Answer != (Known{State: StateQueued}) {
 				t.Fatalf("answer %v", reply.Answer)
@@ -74,19 +74,19 @@
 
 func TestTheCountIsIncompleteWhileAClaimedShardIsNotRead(t *testing.T) {
 	const id = "00000000000000aa"
-	k, shard := newOwner(id)
+	c, shard := newOwner(id)
 	count := func() (isComplete bool) {
-		k.Handle(testStart, PendingAsked{Kind: "k", Done: func(_ int, complete bool) { isComplete = complete }})
+		c.Handle(testStart, PendingRequested{Kind: "k", Done: func(_ int, complete bool) { isComplete = complete }})
 		return isComplete
 	}
 	if count() {
 		t.Fatal("complete while the shard is being read")
 	}
-	k.Handle(testStart, Loaded{Shard: shard, Token: 20})
+	c.Handle(testStart, Loaded{Shard: shard, Token: 20})
 	if !count() {
 		t.Fatal("incomplete after the shard was read")
 	}
-	k.Handle(testStart.Add(7*time.Second), Ticked{})
+	c.Handle(testStart.Add(7*time.Second), Ticked{})
 	if count() {
 		t.Fatal("complete although the lease has run out and the claim may be there still")
 	}
@@ -94,33 +94,33 @@
 
 func TestAnEndIsNotedOnlyOnceItIsWritten(t *testing.T) {
 	const id = "00000000000000aa"
-	k, shard := newOwner(id)
+	c, shard := newOwner(id)
 	batch := encodeBatch([]*durablepb.Record{{Record: &durablepb.Record_Accepted{Accepted: PackJob(testJob(id))}}})
-	effects := k.Handle(testStart, Loaded{Shard: shard, Token: 20, Batches: []StoredBatch{{Sequence: 1, Data: batch}}})
-	if kept, ok := find[ToDispatcher](effects); !ok || kept.Event.(dispatch.Kept).Job.ID != id {
+	effects := c.Handle(testStart, Loaded{Shard: shard, Token: 20, Batches: []StoredBatch{{Sequence: 1, Data: batch}}})
+	if kept, ok := find[ToDispatcher](effects); !ok || kept.Event.(dispatch.DurableAccepted).Job.ID != id {
 		t.Fatal("the job is not taken up")
 	}
 	if commit, ok := find[Commit](effects); ok {
-		k.Handle(testStart, Committed{Number: commit.Number, Result: CommitDone{}})
+		c.Handle(testStart, Committed{Number: commit.Number, Result: CommitDone{}})
 	}
 	now := testStart.Add(time.Second)
-	effects = k.Handle(now, TaskEnded{Agent: "a", Update: runner.Update{Name: id + ".0.0.0", Run: 1, Outcome: runner.OutcomeDone}})
-	if _, ok := find[NoteEnd](effects); ok {
+	effects = c.Handle(now, TaskEnded{Agent: "a", Update: runner.Update{Name: id + ".0.0.0", Run: 1, Outcome: runner.OutcomeDone}})
+	if _, ok := find[AcknowledgeEnd](effects); ok {
 		t.Fatal("noted before the write")
 	}
 	commit, ok := find[Commit](effects)
 	if !ok {
 		t.Fatal("the end is not written")
 	}
-	if _, ok := find[NoteEnd](k.Handle(now, Committed{Number: commit.Number, Result: CommitUnknown{}})); ok {
+	if _, ok := find[AcknowledgeEnd](c.Handle(now, Committed{Number: commit.Number, Result: CommitUnknown{}})); ok {
 		t.Fatal("noted although it may not be written")
 	}
-	effects = k.Handle(now.Add(time.Second), Ticked{})
+	effects = c.Handle(now.Add(time.Second), Ticked{})
 	again, ok := find[Commit](effects)
 	if !ok || again.Number != commit.Number {
 		t.Fatal("the commit is not tried again as it was")
 	}
-	if _, ok := find[NoteEnd](k.Handle(now.Add(time.Second), Committed{Number: again.Number, Result: CommitDone{}})); !ok {
+	if _, ok := find[AcknowledgeEnd](c.Handle(now.Add(time.Second), Committed{Number: again.Number, Result: CommitDone{}})); !ok {
 		t.Fatal("not noted after the write")
 	}
 }
--- a/internal/durable/event.go
+++ b/internal/durable/event.go
@@ -75,27 +75,27 @@
 	Waiter Waiter
 }
 
-// CancelAsked is a caller's wish that a job ends.
-type CancelAsked struct {
+// CancelRequested is a caller's wish that a job ends.
+type CancelRequested struct {
 	Job    string
 	Waiter Waiter
 }
 
-// StateAsked asks for the state of a job.
-type StateAsked struct {
+// StateRequested asks for the state of a job.
+type StateRequested struct {
 	Job    string
 	Waiter Waiter
 }
 
-// PendingAsked asks for the number of jobs of a kind that are owned here and of which no task has begun.
-type PendingAsked struct {
+// PendingRequested asks for the number of jobs of a kind that are owned here and of which no task has begun.
+type PendingRequested struct {
 	Kind string
 	// Done is told the number, and whether the jobs of all shards that are claimed here are known.
 	Done func(jobs int, isComplete bool)
 }
 
-// OwnerWanted makes the keeper claim shards that nobody owns.
-type OwnerWanted struct{}
+// ActivationRequested makes the keeper claim shards that nobody owns.
+type ActivationRequested struct{}
 
 // TaskEnded is the end of a run: its task is done, or has failed once more.
 type TaskEnded struct {
@@ -106,14 +106,14 @@
 // JobBegun says that a task of a job has begun.
 type JobBegun struct{ Job string }
 
-// EntriesSeen names the entries that are known.
-type EntriesSeen struct{ Names []string }
+// EntriesChanged names the entries that are known.
+type EntriesChanged struct{ Names []string }
 
 // StoreRead says that the store's claims and jobs were read; Kept is whether there are any.
-type StoreRead struct{ Kept bool }
+type StoreRead struct{ HasJobs bool }
 
-// ClaimSeen is a claim in the store.
-type ClaimSeen struct{ Claim Claim }
+// ClaimObserved is a claim in the store.
+type ClaimObserved struct{ Claim Claim }
 
 // ClaimGone says that a shard's claim has gone with a change of the store.
 type ClaimGone struct {
@@ -124,7 +124,7 @@
 // LeaseAnswered is what became of asking for a lease, or of renewing the one named, at a time.
 type LeaseAnswered struct {
 	Lease  Lease
-	Asked  time.Time
+	Sent   time.Time
 	Result LeaseResult
 }
 
@@ -155,8 +155,8 @@
 	Result CommitResult
 }
 
-// SurrenderAsked says that another entry holds the claim of a shard now.
-type SurrenderAsked struct {
+// SurrenderRequested says that another entry holds the claim of a shard now.
+type SurrenderRequested struct {
 	Shard Shard
 	Token Token
 	Done  func()
@@ -164,36 +164,36 @@
 
 // Surrendered is what the earlier owner of a shard answered.
 type Surrendered struct {
-	Shard  Shard
-	Token  Token
-	IsSure bool
+	Shard       Shard
+	Token       Token
+	IsConfirmed bool
 }
 
-// LeaveAsked makes the keeper give its shards up before a time.
-type LeaveAsked struct{ Until time.Time }
+// ShutdownRequested makes the keeper give its shards up before a time.
+type ShutdownRequested struct{ Until time.Time }
 
 // Ticked lets time pass; KeptRuns is how many tasks of jobs that must be kept are at agents.
-type Ticked struct{ KeptRuns int }
-
-func (Submitted) isEvent()      {}
-func (CancelAsked) isEvent()    {}
-func (StateAsked) isEvent()     {}
-func (PendingAsked) isEvent()   {}
-func (OwnerWanted) isEvent()    {}
-func (TaskEnded) isEvent()      {}
-func (JobBegun) isEvent()       {}
-func (EntriesSeen) isEvent()    {}
-func (StoreRead) isEvent()      {}
-func (ClaimSeen) isEvent()      {}
-func (ClaimGone) isEvent()      {}
-func (LeaseAnswered) isEvent()  {}
-func (ClaimAnswered) isEvent()  {}
-func (Loaded) isEvent()         {}
-func (Committed) isEvent()      {}
-func (SurrenderAsked) isEvent() {}
-func (Surrendered) isEvent()    {}
-func (LeaveAsked) isEvent()     {}
-func (Ticked) isEvent()         {}
+type Ticked struct{ DurableRuns int }
+
+func (Submitted) isEvent()           {}
+func (CancelRequested) isEvent()     {}
+func (StateRequested) isEvent()      {}
+func (PendingRequested) isEvent()    {}
+func (ActivationRequested) isEvent() {}
+func (TaskEnded) isEvent()           {}
+func (JobBegun) isEvent()            {}
+func (EntriesChanged) isEvent()      {}
+func (StoreRead) isEvent()           {}
+func (ClaimObserved) isEvent()       {}
+func (ClaimGone) isEvent()           {}
+func (LeaseAnswered) isEvent()       {}
+func (ClaimAnswered) isEvent()       {}
+func (Loaded) isEvent()              {}
+func (Committed) isEvent()           {}
+func (SurrenderRequested) isEvent()  {}
+func (Surrendered) isEvent()         {}
+func (ShutdownRequested) isEvent()   {}
+func (Ticked) isEvent()              {}
 
 // LeaseResult is the store's answer to asking for a lease or renewing it: LeaseGranted, LeaseOver or LeaseUnknown.
 type LeaseResult interface{ isLeaseResult() }
@@ -301,15 +301,15 @@
 // ToDispatcher hands an event to the dispatcher.
 type ToDispatcher struct{ Event dispatch.Event }
 
-// NoteEnd tells an agent that the end of a run is kept; without an agent it is told to all.
-type NoteEnd struct {
+// AcknowledgeEnd tells an agent that the end of a run is kept; without an agent it is told to all.
+type AcknowledgeEnd struct {
 	Agent dispatch.AgentID
 	Name  string
 	Run   uint32
 }
 
-// Note tells a decision for the log.
-type Note struct {
+// DecisionMade tells a decision for the log.
+type DecisionMade struct {
 	Decision string
 	Shard    Shard
 	Job      string
@@ -317,16 +317,16 @@
 	Detail   string
 }
 
-func (CallLease) isEffect()     {}
-func (EndLease) isEffect()      {}
-func (CallClaim) isEffect()     {}
-func (Load) isEffect()          {}
-func (Commit) isEffect()        {}
-func (CallSurrender) isEffect() {}
-func (Reply) isEffect()         {}
-func (ToDispatcher) isEffect()  {}
-func (NoteEnd) isEffect()       {}
-func (Note) isEffect()          {}
+func (CallLease) isEffect()      {}
+func (EndLease) isEffect()       {}
+func (CallClaim) isEffect()      {}
+func (Load) isEffect()           {}
+func (Commit) isEffect()         {}
+func (CallSurrender) isEffect()  {}
+func (Reply) isEffect()          {}
+func (ToDispatcher) isEffect()   {}
+func (AcknowledgeEnd) isEffect() {}
+func (DecisionMade) isEffect()   {}
 
 // Answer is the answer to a request: Known, Unknown, NotOwner, Refused or InDoubt.
 type Answer interface{ isAnswer() }
--- a/internal/durable/job.go
+++ b/internal/durable/job.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// shown is the state that callers are told.
-func (j *job) shown() State {
+// visibleState is the state that callers are told.
+func (j *job) visibleState() State {
 	switch {
 	case j.written.IsEnd():
 		return j.written
@@ -83,8 +83,8 @@
 	return count
 }
 
-// take takes the end of a run in, and reports whether it was news.
-func (j *job) take(task uint32, e TaskEnded) bool {
+// applyEnd takes the end of a run in, and reports whether it was news.
+func (j *job) applyEnd(task uint32, e TaskEnded) bool {
 	switch {
 	case j.done[task]:
 		return false
@@ -118,22 +118,22 @@
 	return &durablepb.Record{Record: &durablepb.Record_Progress{Progress: progress}}
 }
 
-// kept returns the job as the dispatcher takes it up.
-func (j *job) kept(notBefore time.Time) dispatch.Kept {
-	k := dispatch.Kept{Job: j.job, Failures: make(map[string]int), NotBefore: notBefore}
+// forDispatcher returns the job as the dispatcher takes it up.
+func (j *job) forDispatcher(notBefore time.Time) dispatch.DurableAccepted {
+	c := dispatch.DurableAccepted{Job: j.job, Failures: make(map[string]int), NotBefore: notBefore}
 	for task, name := range j.names {
 		if j.done[uint32(task)] {
-			k.Done = append(k.Done, name)
+			c.DoneTasks = append(c.DoneTasks, name)
 		}
 		if failures := j.failures(uint32(task)); failures > 0 {
-			k.Failures[name] = failures
+			c.Failures[name] = failures
 		}
 	}
-	return k
+	return c
 }
 
-// end forgets what only a job under way needs.
-func (j *job) end(now time.Time) {
+// releaseMemory forgets what only a job under way needs.
+func (j *job) releaseMemory(now time.Time) {
 	j.endedAt = now
 	j.job = dispatch.Job{}
 	j.names, j.done, j.failed = nil, nil, nil
--- a/internal/durable/lease.go
+++ b/internal/durable/lease.go
@@ -8,63 +8,63 @@
 // heldLease is the lease that the claims live by.
 type heldLease struct {
 	id Lease
-	// valid is when the lease may have run out.
-	valid time.Time
+	// validUntil is when the lease may have run out.
+	validUntil time.Time
 	// asked is when it was last asked for or renewed; waiting is set until that is answered.
-	asked   time.Time
-	waiting bool
-	unknown bool
+	lastSent   time.Time
+	inFlight   bool
+	unanswered bool
 }
 
 // renewLease asks for a lease, or renews it in time.
-func (k *Keeper) renewLease(now time.Time) {
-	pause := k.limits.LeaseTime / renewals
-	if k.lease.unknown || k.lease.id == 0 {
+func (c *Coordinator) renewLease(now time.Time) {
+	pause := c.limits.LeaseTime / renewals
+	if c.lease.unanswered || c.lease.id == 0 {
 		pause = retryPause
 	}
-	if k.lease.waiting || now.Sub(k.lease.asked) < pause || !k.leaving.IsZero() && k.lease.id == 0 {
+	if c.lease.inFlight || now.Sub(c.lease.lastSent) < pause || !c.shutdownAt.IsZero() && c.lease.id == 0 {
 		return
 	}
-	k.lease.waiting, k.lease.asked = true, now
-	k.emit(CallLease{Lease: k.lease.id, Time: k.limits.LeaseTime})
+	c.lease.inFlight, c.lease.lastSent = true, now
+	c.emit(CallLease{Lease: c.lease.id, Time: c.limits.LeaseTime})
 }
 
-func (k *Keeper) leaseAnswered(e LeaseAnswered) {
-	k.lease.waiting = false
+func (c *Coordinator) leaseAnswered(e LeaseAnswered) {
+	c.lease.inFlight = false
 	result, isGranted := e.Result.(LeaseGranted)
-	if e.Lease != k.lease.id {
+	if e.Lease != c.lease.id {
 		// The lease was given up meanwhile. Its claims would live on with it, and nobody would own the shards.
 		if isGranted {
-			k.emit(EndLease{Lease: result.Lease})
+			c.emit(EndLease{Lease: result.Lease})
 		}
 		return
 	}
 	switch result := e.Result.(type) {
 	case LeaseGranted:
-		k.lease.unknown = false
-		k.lease.id = result.Lease
-		k.lease.valid = e.Asked.Add(result.Time - result.Time/driftDivisor)
+		c.lease.unanswered = false
+		c.lease.id = result.Lease
+		c.lease.validUntil = e.Sent.Add(result.Time - result.Time/driftDivisor)
 	case LeaseOver:
-		k.loseLease("the store says that the lease is over")
+		c.loseLease("the store says that the lease is over")
 	case LeaseUnknown:
-		k.lease.unknown = true
+		c.lease.unanswered = true
 	}
 }
 
 // expireLease gives everything up once the lease may have run out, also right after a pause of the process.
-func (k *Keeper) expireLease(now time.Time) {
-	if k.lease.id != 0 && now.After(k.lease.valid) {
-		k.loseLease("the lease may have run out")
+func (c *Coordinator) expireLease(now time.Time) {
+	if c.lease.id != 0 && now.After(c.lease.validUntil) {
+		c.loseLease("the lease may have run out")
 	}
 }
 
-func (k *Keeper) loseLease(reason string) {
-	k.emit(EndLease{Lease: k.lease.id})
-	k.lease.id = 0
-	for _, s := range k.shards {
+func (c *Coordinator) loseLease(reason string) {
+	c.emit(EndLease{Lease: c.lease.id})
+	c.lease.id = 0
+	for _, s := range c.shards {
 		if s.state != unowned {
-			k.lose(s, reason)
+			c.loseShard(s, reason)
 		}
 	}
-	k.commit = nil
+	c.commit = nil
 }
--- a/internal/durable/random_test.go
+++ b/internal/durable/random_test.go
@@ -117,7 +117,7 @@
 // fakeEntry is a keeper with what it has been told to run.
 type fakeEntry struct {
 	name    string
-	keeper  *Keeper
+	keeper  *Coordinator
 	alive   bool
 	frozen  bool
 	seen    int64
@@ -172,8 +172,8 @@
 	e.keeper = New(Claim{Owner: e.name, Address: e.name, Incarnation: s.now.UnixNano()}, Limits{Jobs: 4096, StatusTime: time.Minute, LeaseTime: 6 * time.Second, Commits: 200})
 	e.alive, e.frozen, e.seen = true, false, 0
 	e.active, e.claimed, e.inbox = make(map[string]time.Time), make(map[Shard]bool), nil
-	s.give(e, EntriesSeen{Names: []string{"entry-0", "entry-1", "entry-2"}})
-	s.give(e, StoreRead{Kept: true})
+	s.give(e, EntriesChanged{Names: []string{"entry-0", "entry-1", "entry-2"}})
+	s.give(e, StoreRead{HasJobs: true})
 }
 
 // post lets an event arrive after some time, as what other goroutines and processes answer does.
@@ -220,7 +220,7 @@
 				result = granted
 			}
 		}
-		s.post(e, LeaseAnswered{Lease: effect.Lease, Asked: asked, Result: result})
+		s.post(e, LeaseAnswered{Lease: effect.Lease, Sent: asked, Result: result})
 	case EndLease:
 		s.store.endLease(effect.Lease)
 	case CallClaim:
@@ -235,7 +235,7 @@
 		s.reply(effect)
 	case ToDispatcher:
 		s.dispatch(e, effect.Event)
-	case NoteEnd:
+	case AcknowledgeEnd:
 		if tasks, ok := s.promised[dispatch.JobOf(effect.Name)]; ok {
 			tasks[effect.Name] = true
 		}
@@ -276,9 +276,9 @@
 		}
 		isSure := !other.alive || !other.frozen
 		if other.alive && !other.frozen {
-			s.give(other, SurrenderAsked{Shard: call.Shard, Token: call.Token, Done: func() {}})
+			s.give(other, SurrenderRequested{Shard: call.Shard, Token: call.Token, Done: func() {}})
 		}
-		s.post(e, Surrendered{Shard: call.Shard, Token: call.Token, IsSure: isSure})
+		s.post(e, Surrendered{Shard: call.Shard, Token: call.Token, IsConfirmed: isSure})
 	}
 }
 
@@ -308,21 +308,21 @@
 
 func (s *schedule) dispatch(e *fakeEntry, event dispatch.Event) {
 	switch event := event.(type) {
-	case dispatch.Kept:
+	case dispatch.DurableAccepted:
 		from := s.now
 		if event.NotBefore.After(from) {
 			from = event.NotBefore
 		}
 		e.active[event.Job.ID] = from
 		for name := range s.promised[event.Job.ID] {
-			if !slices.Contains(event.Done, name) {
+			if !slices.Contains(event.DoneTasks, name) {
 				s.t.Errorf("task %s was noted as done, and is to run again at %s", name, e.name)
 			}
 		}
 		if state, hasEnded := s.ended[event.Job.ID]; hasEnded {
 			s.t.Errorf("job %s was shown as %d, and is to run again at %s", event.Job.ID, state, e.name)
 		}
-	case dispatch.Dropped:
+	case dispatch.DurableDropped:
 		for _, id := range event.Jobs {
 			delete(e.active, id)
 		}
@@ -338,7 +338,7 @@
 	claimed := make(map[Shard]bool)
 	for _, shard := range slices.Sorted(maps.Keys(s.store.claims)) {
 		claimed[shard] = true
-		s.give(e, ClaimSeen{Claim: s.store.claims[shard]})
+		s.give(e, ClaimObserved{Claim: s.store.claims[shard]})
 	}
 	for shard := range e.claimed {
 		if !claimed[shard] {
@@ -413,7 +413,7 @@
 		} else {
 			waiter := Waiter(s.random.Uint64())
 			s.asked[waiter] = id
-			s.give(e, StateAsked{Job: id, Waiter: waiter})
+			s.give(e, StateRequested{Job: id, Waiter: waiter})
 		}
 	}
 }
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -43,7 +43,7 @@
 	}}
 	for _, s := range packed.Steps {
 		step := dispatch.Step{
-			Count: int(s.Count), Needs: worker.Room{CPU: int(s.Cpu), Memory: int(s.Memory), GPU: int(s.Gpu)},
+			Count: int(s.Count), Needs: worker.Resources{CPU: int(s.Cpu), Memory: int(s.Memory), GPU: int(s.Gpu)},
 			Expected: time.Duration(s.ExpectedMs) * time.Millisecond, Label: s.Label, Rack: s.Rack, PerWorker: int(s.PerWorker),
 		}
 		for _, earlier := range s.After {
@@ -58,8 +58,8 @@
 func taskNames(j dispatch.Job) []string {
 	var names []string
 	for i, step := range j.Steps {
-		for k := range step.Count {
-			names = append(names, fmt.Sprintf("%s.0.%d.%d", j.ID, i, k))
+		for c := range step.Count {
+			names = append(names, fmt.Sprintf("%s.0.%d.%d", j.ID, i, c))
 		}
 	}
 	return names
--- a/internal/durable/shard.go
+++ b/internal/durable/shard.go
@@ -21,8 +21,8 @@
 	claiming
 	// loading has the claim; the shard's batches are being read.
 	loading
-	// asking has read them; the earlier owner is asked to give the shard up.
-	asking
+	// surrendering has read them; the earlier owner is asked to give the shard up.
+	surrendering
 	owning
 )
 
@@ -31,14 +31,14 @@
 	number Shard
 	state  ownership
 	// claim is the claim in the store; nothing if there is none. seen is the revision that told so.
-	claim   *Claim
-	seen    Token
-	changed time.Time
+	claim          *Claim
+	claimRevision  Token
+	claimChangedAt time.Time
 	// token is the revision of the claim that is held here, since claimed.
 	token   Token
 	claimed time.Time
-	// tried is when a claim or a reading was last begun.
-	tried time.Time
+	// lastTry is when a claim or a reading was last begun.
+	lastTry time.Time
 	// previous is the latest record of an owner, and owned the batch that holds it.
 	previous *durablepb.Owned
 	owned    Sequence
@@ -47,9 +47,9 @@
 	open     int
 	// ended are the jobs that have ended, in the order of their ends.
 	ended []*job
-	// refs counts the records that each batch still holds; removable are those without any.
-	refs      map[Sequence]int
-	removable []Sequence
+	// recordCounts counts the records that each batch still holds; removable are those without any.
+	recordCounts map[Sequence]int
+	removable    []Sequence
 	// live are the batches that are in the store.
 	live      map[Sequence]bool
 	pending   []*change
@@ -74,12 +74,12 @@
 	s.state, s.token, s.releasing = unowned, 0, false
 	s.previous, s.owned, s.next = nil, 0, 1
 	s.jobs, s.open, s.ended = make(map[string]*job), 0, nil
-	s.refs, s.live = make(map[Sequence]int), make(map[Sequence]bool)
+	s.recordCounts, s.live = make(map[Sequence]int), make(map[Sequence]bool)
 	s.removable, s.pending = nil, nil
 }
 
 func (s *shard) isHeld() bool   { return s.state >= loading }
-func (s *shard) isLoaded() bool { return s.state >= asking }
+func (s *shard) isLoaded() bool { return s.state >= surrendering }
 
 // add queues a change. What a job still has queued is replaced: its newest record tells all.
 func (s *shard) add(j *job, record *durablepb.Record, effects ...Effect) {
@@ -88,10 +88,10 @@
 		j.queued.effects = append(j.queued.effects, effects...)
 		return
 	}
-	c := &change{record: record, job: j, effects: effects}
-	s.pending = append(s.pending, c)
+	ch := &change{record: record, job: j, effects: effects}
+	s.pending = append(s.pending, ch)
 	if j != nil {
-		j.queued = c
+		j.queued = ch
 		j.unwritten++
 	}
 }
@@ -99,17 +99,17 @@
 // maxBatch is the largest size of a batch, in bytes, but for one that is a single larger record.
 const maxBatch = 256 << 10
 
-// takePending takes the changes of the next batch.
-func (s *shard) takePending() []*change {
+// nextBatch takes the changes of the next batch.
+func (s *shard) nextBatch() []*change {
 	size, count := 0, 0
-	for _, c := range s.pending {
-		size += proto.Size(c.record)
+	for _, ch := range s.pending {
+		size += proto.Size(ch.record)
 		if count > 0 && size > maxBatch {
 			break
 		}
 		count++
-		if c.job != nil && c.job.queued == c {
-			c.job.queued = nil
+		if ch.job != nil && ch.job.queued == ch {
+			ch.job.queued = nil
 		}
 	}
 	taken := s.pending[:count:count]
@@ -117,15 +117,15 @@
 	return taken
 }
 
-func (s *shard) ref(at Sequence) { s.refs[at]++ }
+func (s *shard) ref(at Sequence) { s.recordCounts[at]++ }
 
 // unref drops a record of a batch; 0 is none.
 func (s *shard) unref(at Sequence) {
 	if at == 0 {
 		return
 	}
-	if s.refs[at]--; s.refs[at] <= 0 {
-		delete(s.refs, at)
+	if s.recordCounts[at]--; s.recordCounts[at] <= 0 {
+		delete(s.recordCounts, at)
 		s.removable = append(s.removable, at)
 	}
 }
@@ -183,7 +183,7 @@
 		s.ended = append(s.ended, j)
 	}
 	j.state, j.written = state, state
-	j.end(now)
+	j.releaseMemory(now)
 }
 
 // restore takes in the batches that an earlier owner has written.
@@ -201,7 +201,7 @@
 			}
 		}
 		s.next = max(s.next, batch.Sequence+1)
-		if s.refs[batch.Sequence] == 0 {
+		if s.recordCounts[batch.Sequence] == 0 {
 			s.removable = append(s.removable, batch.Sequence)
 		}
 	}
--- a/internal/entry/agents_test.go
+++ b/internal/entry/agents_test.go
@@ -29,13 +29,13 @@
 		{"another address", true, 6, moved, true},
 		{"the record is gone", true, 5, cluster.Member{}, true},
 	} {
-		f := &Frontend{sessions: make(map[dispatch.AgentID]*agentSession)}
+		e := &Entry{sessions: make(map[dispatch.AgentID]*agentSession)}
 		if test.hasSession {
 			s := &agentSession{}
 			s.Incarnation(test.with)
-			f.sessions["agent-1"] = s
+			e.sessions["agent-1"] = s
 		}
-		if got := f.isOutdated(earlier, test.current); got != test.want {
+		if got := e.isOutdated(earlier, test.current); got != test.want {
 			t.Errorf("%s: %t", test.name, got)
 		}
 	}
--- a/internal/entry/dependencies.go
+++ b/internal/entry/dependencies.go
@@ -26,8 +26,8 @@
 	return &dependencies{logger: logger, lost: make(map[string]time.Time)}
 }
 
-// note takes in the outcome of a call to a dependency.
-func (d *dependencies) note(name string, err error) {
+// observe takes in the outcome of a call to a dependency.
+func (d *dependencies) observe(name string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	since, isLost := d.lost[name]
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -38,8 +38,8 @@
 	Ring int
 	// Jobs is the largest number of jobs under way, and as many again that must be kept.
 	Jobs int
-	// Keep is where the jobs lie that must be kept, and StoreWrites how many writes a second all entries may make there.
-	Keep        KeepStore
+	// Durable is where the jobs lie that must be kept, and StoreWrites how many writes a second all entries may make there.
+	Durable     DurableStore
 	StoreWrites int
 }
 
@@ -55,8 +55,8 @@
 	stopMargin = 400 * time.Millisecond
 )
 
-// Frontend is a running entry.
-type Frontend struct {
+// Entry is a running entry.
+type Entry struct {
 	settings       Settings
 	self           cluster.Member
 	directory      *cluster.Directory
@@ -69,92 +69,92 @@
 	answerTimes    *metric.Times
 	queueTimes     *metric.Times
 	dispatcher     *dispatch.Dispatcher
-	keeper         *durable.Keeper
-	owners         *durable.Owners
+	coordinator    *durable.Coordinator
+	peers          *durable.Client
 	logger         log.Logger
 	metrics        *metric.Set
 	events         chan dispatch.Event
-	keepEvents     chan durable.Event
+	durableEvents  chan durable.Event
 	context        context.Context
 	cancel         context.CancelFunc
 	duties         sync.WaitGroup
-	leaving        atomic.Bool
+	shuttingDown   atomic.Bool
 	seeds          atomic.Pointer[[]string]
 	nextWaiter     atomic.Uint64
 
 	mu      sync.Mutex
 	waiters map[dispatch.Waiter]chan dispatch.Answer
-	// keptWaiters are the requests that wait for the keeper; claims and ownerAddresses tell who owns the shards, and
+	// durableWaiters are the requests that wait for the keeper; claims and ownerAddresses tell who owns the shards, and
 	// keptSeen that jobs that must be kept were ever known.
-	keptWaiters    map[durable.Waiter]chan durable.Answer
+	durableWaiters map[durable.Waiter]chan durable.Answer
 	claims         [durable.Shards]*durable.Claim
 	ownerAddresses []string
-	keptSeen       bool
-	// storeHeard is when the store last told its changes.
-	storeHeard time.Time
-	sessions   map[dispatch.AgentID]*agentSession
-	agents     int
-	jobs       int
-	shards     int
+	durableSeen    bool
+	// lastStoreUpdate is when the store last told its changes.
+	lastStoreUpdate time.Time
+	sessions        map[dispatch.AgentID]*agentSession
+	agents          int
+	jobs            int
+	shards          int
 }
 
 // New starts an entry. The clean-up ends it at once; Leave comes before.
-func New(settings Settings, configurations Configurations, store Store, logger log.Logger, metrics *metric.Set) (*Frontend, func()) {
-	f := &Frontend{
+func New(settings Settings, configurations Configurations, store Store, logger log.Logger, metrics *metric.Set) (*Entry, func()) {
+	e := &Entry{
 		settings: settings, configurations: configurations, store: store, metrics: metrics,
 		logger: logging.Part(logger, "entry"),
 		self: cluster.Member{
 			Name: settings.Name, Role: cluster.RoleEntry, Zone: settings.Zone,
 			Address: settings.Peers.Addr().String(), Incarnation: time.Now().UnixNano(),
 		},
-		directory:  cluster.NewDirectory(),
-		dispatcher: dispatch.New(dispatch.Limits{Jobs: settings.Jobs}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		events:     make(chan dispatch.Event, settings.Ring),
-		keepEvents: make(chan durable.Event, settings.Ring),
-		waiters:    make(map[dispatch.Waiter]chan dispatch.Answer),
-		sessions:   make(map[dispatch.AgentID]*agentSession),
+		directory:     cluster.NewDirectory(),
+		dispatcher:    dispatch.New(dispatch.Limits{Jobs: settings.Jobs}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		events:        make(chan dispatch.Event, settings.Ring),
+		durableEvents: make(chan durable.Event, settings.Ring),
+		waiters:       make(map[dispatch.Waiter]chan dispatch.Answer),
+		sessions:      make(map[dispatch.AgentID]*agentSession),
 
-		keptWaiters: make(map[durable.Waiter]chan durable.Answer),
+		durableWaiters: make(map[durable.Waiter]chan durable.Answer),
 	}
-	f.keeper = f.newKeeper()
-	owners, closeOwners := durable.NewOwners()
-	f.owners = owners
-	f.dependencies = newDependencies(f.logger)
-	f.successes = logging.NewLimited(level.Info(f.logger), successLines)
-	f.others = logging.NewLimited(level.Info(f.logger), otherLines)
-	f.answerTimes = metrics.Times("answer_time")
-	f.queueTimes = metrics.Times("queue_time")
-	f.SetSeeds(settings.Seeds)
-	f.context, f.cancel = context.WithCancel(context.Background())
-	exchanger, closeExchanger := cluster.NewExchanger(f.directory, configurations.Accept)
-	f.exchanger = exchanger
-	closePeers := servePeers(settings.Peers, exchanger, f)
-	f.directory.AddMember(f.self)
-	for _, duty := range []func(){f.run, f.connect, f.watchSilence, f.followStore, f.register, f.exchange} {
-		f.duties.Go(duty)
+	e.coordinator = e.newCoordinator()
+	owners, closeOwners := durable.NewClient()
+	e.peers = owners
+	e.dependencies = newDependencies(e.logger)
+	e.successes = logging.NewLimited(level.Info(e.logger), successLines)
+	e.others = logging.NewLimited(level.Info(e.logger), otherLines)
+	e.answerTimes = metrics.Times("answer_time")
+	e.queueTimes = metrics.Times("queue_time")
+	e.SetSeeds(settings.Seeds)
+	e.context, e.cancel = context.WithCancel(context.Background())
+	exchanger, closeExchanger := cluster.NewExchanger(e.directory, configurations.Accept)
+	e.exchanger = exchanger
+	closePeers := servePeers(settings.Peers, exchanger, e)
+	e.directory.AddMember(e.self)
+	for _, duty := range []func(){e.run, e.connect, e.watchLiveness, e.followStore, e.register, e.exchange} {
+		e.duties.Go(duty)
 	}
-	_ = level.Info(f.logger).Log("msg", "serving peers", "address", f.self.Address)
-	return f, func() {
-		f.cancel()
+	_ = level.Info(e.logger).Log("msg", "serving peers", "address", e.self.Address)
+	return e, func() {
+		e.cancel()
 		closePeers()
 		closeExchanger()
 		closeOwners()
-		f.duties.Wait()
+		e.duties.Wait()
 	}
 }
 
 // SetSeeds takes other entries to learn from into use.
-func (f *Frontend) SetSeeds(seeds []string) {
-	f.seeds.Store(&seeds)
+func (e *Entry) SetSeeds(seeds []string) {
+	e.seeds.Store(&seeds)
 }
 
 // Knows reports whether so many entries are known, this one among them.
-func (f *Frontend) Knows(entries int) bool {
-	return len(f.directory.Members(cluster.RoleEntry)) >= entries
+func (e *Entry) Knows(entries int) bool {
+	return len(e.directory.Members(cluster.RoleEntry)) >= entries
 }
 
 // run is the duty that decides.
-func (f *Frontend) run() {
+func (e *Entry) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	events := make([]dispatch.Event, 0, batchSize)
@@ -162,34 +162,34 @@
 		events = events[:0]
 		var kept durable.Event
 		select {
-		case <-f.context.Done():
+		case <-e.context.Done():
 			return
-		case event := <-f.events:
-			events = f.gather(append(events, event))
-		case kept = <-f.keepEvents:
+		case event := <-e.events:
+			events = e.gather(append(events, event))
+		case kept = <-e.durableEvents:
 		case <-ticker.C:
 			events = append(events, dispatch.Ticked{})
-			kept = durable.Ticked{KeptRuns: f.dispatcher.KeptRuns(time.Now())}
+			kept = durable.Ticked{DurableRuns: e.dispatcher.DurableRuns(time.Now())}
 		}
 		// A process that was frozen gives up what it may own no longer before it acts on what waits.
-		f.carryKept(f.keeper.Expire(time.Now()))
+		e.applyDurable(e.coordinator.Expire(time.Now()))
 		if len(events) > 0 {
-			f.dispatch(events...)
+			e.dispatch(events...)
 		}
 		if kept != nil {
-			f.keep(kept)
+			e.handleDurable(kept)
 		}
-		if kept != nil && f.keeper.IsActive() {
-			f.publishOwners()
+		if kept != nil && e.coordinator.IsActive() {
+			e.publishOwners()
 		}
-		f.publish()
+		e.publish()
 	}
 }
 
 // dispatch gives the dispatcher events and does what it wants done.
-func (f *Frontend) dispatch(events ...dispatch.Event) {
-	for _, effect := range f.dispatcher.Handle(time.Now(), events...) {
-		f.carry(effect)
+func (e *Entry) dispatch(events ...dispatch.Event) {
+	for _, effect := range e.dispatcher.Handle(time.Now(), events...) {
+		e.apply(effect)
 	}
 }
 
@@ -197,10 +197,10 @@
 const batchSize = 64
 
 // gather adds the events that wait in the ring, up to the size of a batch.
-func (f *Frontend) gather(events []dispatch.Event) []dispatch.Event {
+func (e *Entry) gather(events []dispatch.Event) []dispatch.Event {
 	for len(events) < batchSize {
 		select {
-		case event := <-f.events:
+		case event := <-e.events:
 			events = append(events, event)
 		default:
 			return events
@@ -210,54 +210,54 @@
 }
 
 // publish lets other goroutines see the dispatcher's counts.
-func (f *Frontend) publish() {
-	jobs, _, agents := f.dispatcher.Counts()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.jobs != jobs || f.agents != agents {
-		f.metrics.Set(metric.JobsOpen, int64(jobs))
-		f.metrics.Set(metric.Agents, int64(agents))
+func (e *Entry) publish() {
+	jobs, _, agents := e.dispatcher.Counts()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.jobs != jobs || e.agents != agents {
+		e.metrics.Set(metric.JobsOpen, int64(jobs))
+		e.metrics.Set(metric.Agents, int64(agents))
 	}
-	f.jobs = jobs
-	f.agents = agents
-	f.shards, _ = f.keeper.Counts()
+	e.jobs = jobs
+	e.agents = agents
+	e.shards, _ = e.coordinator.Counts()
 }
 
-// carry does what the dispatcher wants done.
-func (f *Frontend) carry(effect dispatch.Effect) {
-	switch e := effect.(type) {
+// apply does what the dispatcher wants done.
+func (e *Entry) apply(effect dispatch.Effect) {
+	switch ev := effect.(type) {
 	case dispatch.Reply:
-		f.reply(e)
+		e.reply(ev)
 	case dispatch.StartTask:
-		if s := f.session(e.Agent); s != nil {
-			s.Start(e.Number, e.Task)
+		if s := e.session(ev.Agent); s != nil {
+			s.Start(ev.Number, ev.Task)
 		}
 	case dispatch.StopTask:
-		if s := f.session(e.Agent); s != nil {
-			s.Stop(e.Name)
+		if s := e.session(ev.Agent); s != nil {
+			s.Stop(ev.Name)
 		}
-	case dispatch.KeepEnd:
-		f.keep(durable.TaskEnded{Agent: e.Agent, Update: e.Update})
-	case dispatch.TellBegun:
-		f.keep(durable.JobBegun{Job: e.Job})
-	case dispatch.Note:
-		f.log(e)
+	case dispatch.RecordEnd:
+		e.handleDurable(durable.TaskEnded{Agent: ev.Agent, Update: ev.Update})
+	case dispatch.DurableBegun:
+		e.handleDurable(durable.JobBegun{Job: ev.Job})
+	case dispatch.DecisionMade:
+		e.log(ev)
 	}
 }
 
-func (f *Frontend) session(id dispatch.AgentID) *session.ToAgent {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if s, ok := f.sessions[id]; ok {
+func (e *Entry) session(id dispatch.AgentID) *session.AgentConn {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if s, ok := e.sessions[id]; ok {
 		return s.toAgent
 	}
 	return nil
 }
 
-func (f *Frontend) post(event dispatch.Event) {
+func (e *Entry) post(event dispatch.Event) {
 	select {
-	case f.events <- event:
-	case <-f.context.Done():
+	case e.events <- event:
+	case <-e.context.Done():
 	}
 }
 
@@ -267,40 +267,40 @@
 	otherLines   = 200
 )
 
-// record counts a decision.
-func (f *Frontend) record(n dispatch.Note) {
+// count counts a decision.
+func (e *Entry) count(n dispatch.DecisionMade) {
 	switch n.Decision {
 	case dispatch.DecisionAnswered:
-		f.metrics.Add(metric.JobsPrefix+string(n.Outcome), 1)
-		f.answerTimes.Record(n.Kind+" "+string(n.Outcome), n.Age)
+		e.metrics.Add(metric.JobsPrefix+string(n.Outcome), 1)
+		e.answerTimes.Record(n.Kind+" "+string(n.Outcome), n.Age)
 	case dispatch.DecisionPlaced:
-		f.metrics.Add(metric.TasksStarted, 1)
+		e.metrics.Add(metric.TasksStarted, 1)
 		if n.Run == 1 {
-			f.queueTimes.Record(n.Kind, n.Age)
+			e.queueTimes.Record(n.Kind, n.Age)
 		}
 	case dispatch.DecisionEnded:
-		f.metrics.Add(metric.TasksEnded, 1)
+		e.metrics.Add(metric.TasksEnded, 1)
 	}
 }
 
 // loggerFor returns the logger of a decision: those that went well are sampled, placements are for debugging.
-func (f *Frontend) loggerFor(n dispatch.Note) log.Logger {
+func (e *Entry) loggerFor(n dispatch.DecisionMade) log.Logger {
 	switch {
-	case n.Decision == dispatch.DecisionPlaced, n.Decision == dispatch.DecisionTaken,
+	case n.Decision == dispatch.DecisionPlaced, n.Decision == dispatch.DecisionAccepted,
 		n.Decision == dispatch.DecisionEnded && n.Detail == "done ":
-		return level.Debug(f.logger)
+		return level.Debug(e.logger)
 	case n.Outcome == dispatch.OutcomeCompleted && n.Detail == string(n.Outcome):
 		// Completed within its objective: others tell why not.
-		return f.successes
+		return e.successes
 	default:
-		return f.others
+		return e.others
 	}
 }
 
 // log logs a decision.
-func (f *Frontend) log(n dispatch.Note) {
-	f.record(n)
-	logger := f.loggerFor(n)
+func (e *Entry) log(n dispatch.DecisionMade) {
+	e.count(n)
+	logger := e.loggerFor(n)
 	fields := []any{"msg", string(n.Decision)}
 	if n.Job != "" {
 		fields = append(fields, "job", n.Job, "kind", n.Kind, "age", n.Age.Round(time.Millisecond/10))
--- a/internal/entry/news.go
+++ b/internal/entry/store.go
@@ -18,26 +18,26 @@
 // Store is the platform's store as an entry sees it.
 type Store interface {
 	// Read returns what the store holds.
-	Read() (News, error)
+	Read() (StoreUpdate, error)
 	// Watch waits for changes since the last reading and returns what is new; ok is false if the
 	// store has forgotten them, so that it must be read anew.
-	Watch() (news News, ok bool, err error)
+	Watch() (news StoreUpdate, ok bool, err error)
 	// PutMember writes a member's record.
 	PutMember(cluster.Member) error
 	// RemoveMember removes a member's record if it is still of the incarnation given.
 	RemoveMember(cluster.Member) error
 }
 
-// News is what an entry learns from the store.
-type News struct {
+// StoreUpdate is what an entry learns from the store.
+type StoreUpdate struct {
 	// Document is the configuration; nothing if there is none, or none that is new.
 	Document []byte
 	Members  []cluster.Member
 	// Claims are the claims of shards, and Gone those that are there no longer.
-	Claims []durable.Claim
-	Gone   []durable.ClaimGone
-	// HasKept is set if there were ever jobs that must be kept.
-	HasKept bool
+	Claims     []durable.Claim
+	ClaimsGone []durable.ClaimGone
+	// HasDurableJobs is set if there were ever jobs that must be kept.
+	HasDurableJobs bool
 }
 
 const (
@@ -48,7 +48,7 @@
 	headerTimeout    = 5 * time.Second
 )
 
-func servePeers(listener net.Listener, exchanger *cluster.Exchanger, asked durable.Asked) func() {
+func servePeers(listener net.Listener, exchanger *cluster.Exchanger, asked durable.LocalCoordinator) func() {
 	mux := http.NewServeMux()
 	mux.Handle(durable.PathPrefix, durable.NewServer(asked))
 	mux.Handle("/", exchanger.Handler())
@@ -58,9 +58,9 @@
 }
 
 // pause waits and reports whether the process goes on.
-func (f *Frontend) pause(d time.Duration) bool {
+func (e *Entry) pause(d time.Duration) bool {
 	select {
-	case <-f.context.Done():
+	case <-e.context.Done():
 		return false
 	case <-time.After(d):
 		return true
@@ -68,128 +68,128 @@
 }
 
 // followStore reads the store and takes in its changes as they come.
-func (f *Frontend) followStore() {
+func (e *Entry) followStore() {
 	current := false
-	for f.context.Err() == nil {
+	for e.context.Err() == nil {
 		wasCurrent := current
-		news, err := f.nextNews(&current)
-		f.dependencies.note("store", err)
+		news, err := e.nextUpdate(&current)
+		e.dependencies.observe("store", err)
 		if err != nil {
-			if !f.pause(storePause) {
+			if !e.pause(storePause) {
 				return
 			}
 			continue
 		}
-		f.takeNews(news)
-		f.takeClaims(news)
+		e.applyUpdate(news)
+		e.applyClaims(news)
 		if current && !wasCurrent {
-			f.postKeep(durable.StoreRead{Kept: news.HasKept})
+			e.postDurable(durable.StoreRead{HasJobs: news.HasDurableJobs})
 		}
 	}
 }
 
-// takeClaims hands what the store says of the shards to the keeper.
-func (f *Frontend) takeClaims(news News) {
-	f.mu.Lock()
-	f.storeHeard = time.Now()
-	f.mu.Unlock()
+// applyClaims hands what the store says of the shards to the keeper.
+func (e *Entry) applyClaims(news StoreUpdate) {
+	e.mu.Lock()
+	e.lastStoreUpdate = time.Now()
+	e.mu.Unlock()
 	for _, claim := range news.Claims {
-		f.postKeep(durable.ClaimSeen{Claim: claim})
+		e.postDurable(durable.ClaimObserved{Claim: claim})
 	}
-	for _, gone := range news.Gone {
-		f.postKeep(gone)
+	for _, gone := range news.ClaimsGone {
+		e.postDurable(gone)
 	}
-	if !news.HasKept {
+	if !news.HasDurableJobs {
 		return
 	}
-	f.mu.Lock()
-	first := !f.keptSeen
-	f.keptSeen = true
-	f.mu.Unlock()
+	e.mu.Lock()
+	first := !e.durableSeen
+	e.durableSeen = true
+	e.mu.Unlock()
 	if first {
-		f.postKeep(durable.OwnerWanted{})
+		e.postDurable(durable.ActivationRequested{})
 	}
 }
 
-// nextNews reads the store if its history is not known, and waits for changes otherwise.
-func (f *Frontend) nextNews(current *bool) (News, error) {
+// nextUpdate reads the store if its history is not known, and waits for changes otherwise.
+func (e *Entry) nextUpdate(current *bool) (StoreUpdate, error) {
 	if !*current {
-		news, err := f.store.Read()
+		news, err := e.store.Read()
 		*current = err == nil
 		return news, err
 	}
-	news, ok, err := f.store.Watch()
+	news, ok, err := e.store.Watch()
 	if err == nil {
 		*current = ok
 	}
 	return news, err
 }
 
-func (f *Frontend) takeNews(news News) {
+func (e *Entry) applyUpdate(news StoreUpdate) {
 	for _, m := range news.Members {
-		if f.directory.AddMember(m) {
-			_ = level.Info(f.logger).Log("msg", "member", "name", m.Name, "role", m.Role, "address", m.Address)
+		if e.directory.AddMember(m) {
+			_ = level.Info(e.logger).Log("msg", "member", "name", m.Name, "role", m.Role, "address", m.Address)
 		}
 	}
-	f.postKeep(durable.EntriesSeen{Names: f.entryNames()})
+	e.postDurable(durable.EntriesChanged{Names: e.entryNames()})
 	if len(news.Document) == 0 {
 		return
 	}
-	version, err := f.configurations.Accept(news.Document)
+	version, err := e.configurations.Accept(news.Document)
 	if err != nil {
-		_ = level.Error(f.logger).Log("msg", "unable to use the configuration", "err", err)
+		_ = level.Error(e.logger).Log("msg", "unable to use the configuration", "err", err)
 		return
 	}
-	if f.directory.SetDocument(version, news.Document) {
-		_ = level.Info(f.logger).Log("msg", "configuration", "version", version, "from", "store")
+	if e.directory.SetDocument(version, news.Document) {
+		_ = level.Info(e.logger).Log("msg", "configuration", "version", version, "from", "store")
 	}
 }
 
-func (f *Frontend) entryNames() []string {
+func (e *Entry) entryNames() []string {
 	var names []string
-	for _, m := range f.directory.Members(cluster.RoleEntry) {
+	for _, m := range e.directory.Members(cluster.RoleEntry) {
 		names = append(names, m.Name)
 	}
 	return names
 }
 
 // register writes this entry's record to the store, and tries until that is done.
-func (f *Frontend) register() {
-	for f.context.Err() == nil {
-		if err := f.store.PutMember(f.self); err == nil {
+func (e *Entry) register() {
+	for e.context.Err() == nil {
+		if err := e.store.PutMember(e.self); err == nil {
 			return
 		}
-		if !f.pause(storePause + rand.N(storePause)) {
+		if !e.pause(storePause + rand.N(storePause)) {
 			return
 		}
 	}
 }
 
 // exchange exchanges with another entry at a time, so that news travels while the store does not answer.
-func (f *Frontend) exchange() {
-	for f.pause(exchangeInterval/2 + rand.N(exchangeInterval)) {
-		address, ok := f.anyPeer()
+func (e *Entry) exchange() {
+	for e.pause(exchangeInterval/2 + rand.N(exchangeInterval)) {
+		address, ok := e.anyPeer()
 		if !ok {
 			continue
 		}
-		before, _ := f.directory.Document()
-		f.dependencies.note("entry "+address, f.exchanger.ExchangeWith(f.context, address))
-		if after, _ := f.directory.Document(); after > before {
-			_ = level.Info(f.logger).Log("msg", "configuration", "version", after, "from", address)
+		before, _ := e.directory.Document()
+		e.dependencies.observe("entry "+address, e.exchanger.ExchangeWith(e.context, address))
+		if after, _ := e.directory.Document(); after > before {
+			_ = level.Info(e.logger).Log("msg", "configuration", "version", after, "from", address)
 		}
 	}
 }
 
 // anyPeer returns the address of another entry, or of a seed.
-func (f *Frontend) anyPeer() (string, bool) {
+func (e *Entry) anyPeer() (string, bool) {
 	var addresses []string
-	for _, m := range f.directory.Members(cluster.RoleEntry) {
+	for _, m := range e.directory.Members(cluster.RoleEntry) {
 		addresses = append(addresses, m.Address)
 	}
-	addresses = append(addresses, *f.seeds.Load()...)
+	addresses = append(addresses, *e.seeds.Load()...)
 	var others []string
 	for _, address := range addresses {
-		if address != f.self.Address {
+		if address != e.self.Address {
 			others = append(others, address)
 		}
 	}
--- a/internal/native/keyvalue/client.go
+++ b/internal/native/keyvalue/client.go
@@ -34,7 +34,7 @@
 func (c *Client) Get(ctx context.Context, key string) (Value, error) {
 	value, err := c.read(ctx, PathKeys+key, nil, c.timeout)
 	if err != nil {
-		return Value{}, errors.Wrapf(err, "keyvalue: unable to get %s", key)
+		return Value{}, errors.Wrapf(err, "platform: unable to get %s", key)
 	}
 	return value, nil
 }
@@ -47,7 +47,7 @@
 	query.Set(ParamWait, watchWait.String())
 	value, err := c.read(ctx, PathKeys+key, query, watchWait+c.timeout)
 	if err != nil {
-		return Value{}, errors.Wrapf(err, "keyvalue: unable to watch %s", key)
+		return Value{}, errors.Wrapf(err, "platform: unable to watch %s", key)
 	}
 	return value, nil
 }
@@ -65,7 +65,7 @@
 
 func (c *Client) write(ctx context.Context, key string, data []byte, revision uint64, lease LeaseID) (uint64, error) {
 	if len(data) > MaxValue {
-		return 0, errors.Errorf("keyvalue: unable to write %s: %d bytes are more than %d", key, len(data), MaxValue)
+		return 0, errors.Errorf("platform: unable to write %s: %d bytes are more than %d", key, len(data), MaxValue)
 	}
 	query := url.Values{}
 	query.Set(ParamRevision, strconv.FormatUint(revision, 10))
@@ -74,7 +74,7 @@
 	}
 	response, err := c.call(ctx, fasthttp.MethodPut, PathKeys+key, query, data, c.timeout)
 	if err != nil {
-		return 0, errors.Wrapf(errors.Join(ErrUncertain, err), "keyvalue: unable to write %s", key)
+		return 0, errors.Wrapf(errors.Join(ErrUncertain, err), "platform: unable to write %s", key)
 	}
 	defer fasthttp.ReleaseResponse(response)
 	switch response.StatusCode() {
@@ -85,7 +85,7 @@
 	case fasthttp.StatusGone:
 		return 0, ErrLeaseLapsed
 	default:
-		return 0, errors.Wrapf(errors.Join(ErrUncertain, statusError(response)), "keyvalue: unable to write %s", key)
+		return 0, errors.Wrapf(errors.Join(ErrUncertain, statusError(response)), "platform: unable to write %s", key)
 	}
 }
 
@@ -95,11 +95,11 @@
 	query.Set(ParamTTL, ttl.String())
 	response, err := c.call(ctx, fasthttp.MethodPost, PathLeases, query, nil, c.timeout)
 	if err != nil {
-		return "", errors.Wrap(err, "keyvalue: unable to grant a lease")
+		return "", errors.Wrap(err, "platform: unable to grant a lease")
 	}
 	defer fasthttp.ReleaseResponse(response)
 	if response.StatusCode() != fasthttp.StatusOK {
-		return "", errors.Wrap(statusError(response), "keyvalue: unable to grant a lease")
+		return "", errors.Wrap(statusError(response), "platform: unable to grant a lease")
 	}
 	return LeaseID(response.Body()), nil
 }
@@ -117,7 +117,7 @@
 func (c *Client) changeLease(ctx context.Context, method string, lease LeaseID) error {
 	response, err := c.call(ctx, method, PathLeases+string(lease), nil, nil, c.timeout)
 	if err != nil {
-		return errors.Wrapf(err, "keyvalue: unable to change lease %s", lease)
+		return errors.Wrapf(err, "platform: unable to change lease %s", lease)
 	}
 	defer fasthttp.ReleaseResponse(response)
 	switch response.StatusCode() {
@@ -126,7 +126,7 @@
 	case fasthttp.StatusGone:
 		return ErrLeaseLapsed
 	default:
-		return errors.Wrapf(statusError(response), "keyvalue: unable to change lease %s", lease)
+		return errors.Wrapf(statusError(response), "platform: unable to change lease %s", lease)
 	}
 }
 
@@ -134,11 +134,11 @@
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
 	value, err := c.read(ctx, PathVMs, nil, c.timeout)
 	if err != nil {
-		return nil, errors.Wrap(err, "keyvalue: unable to list VMs")
+		return nil, errors.Wrap(err, "platform: unable to list VMs")
 	}
 	var vms []VM
 	if err := json.Unmarshal(value.Data, &vms); err != nil {
-		return nil, errors.Wrap(err, "keyvalue: unable to read the list of VMs")
+		return nil, errors.Wrap(err, "platform: unable to read the list of VMs")
 	}
 	return vms, nil
 }
@@ -191,7 +191,7 @@
 	}
 	revision, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, errors.Wrap(err, "keyvalue: unable to read the revision")
+		return 0, errors.Wrap(err, "platform: unable to read the revision")
 	}
 	return revision, nil
 }
--- a/internal/native/keyvalue/document.go
+++ b/internal/native/keyvalue/document.go
@@ -19,7 +19,7 @@
 }
 
 // ErrUnchanged is returned by a change that finds nothing to do.
-var ErrUnchanged = errors.New("keyvalue: nothing to change")
+var ErrUnchanged = errors.New("platform: nothing to change")
 
 const (
 	maxSwaps        = 50
@@ -53,7 +53,7 @@
 		return document, 0, err
 	}
 	if err := json.Unmarshal(value.Data, &document); err != nil {
-		return document, 0, errors.Wrapf(err, "keyvalue: unable to read %s", d.key)
+		return document, 0, errors.Wrapf(err, "platform: unable to read %s", d.key)
 	}
 	return document, value.Revision, nil
 }
@@ -79,7 +79,7 @@
 		}
 		data, err := json.Marshal(next)
 		if err != nil {
-			return none, 0, errors.Wrapf(err, "keyvalue: unable to write %s", d.key)
+			return none, 0, errors.Wrapf(err, "platform: unable to write %s", d.key)
 		}
 		written, err := d.client.CompareAndSwap(ctx, d.key, data, revision)
 		if err == nil {
--- a/internal/native/keyvalue/keyvalue.go
+++ b/internal/native/keyvalue/keyvalue.go
@@ -14,13 +14,13 @@
 // Errors of the key-value service.
 var (
 	// ErrNotFound says that the key has no value.
-	ErrNotFound = errors.New("keyvalue: key not found")
+	ErrNotFound = errors.New("platform: key not found")
 	// ErrConflict says that the key has another revision than the one compared; nothing was written.
-	ErrConflict = errors.New("keyvalue: revision conflict")
+	ErrConflict = errors.New("platform: revision conflict")
 	// ErrLeaseLapsed says that the lease is gone.
-	ErrLeaseLapsed = errors.New("keyvalue: lease has lapsed")
+	ErrLeaseLapsed = errors.New("platform: lease has lapsed")
 	// ErrUncertain says that a write may have taken effect although its reply is lost.
-	ErrUncertain = errors.New("keyvalue: the write may have taken effect")
+	ErrUncertain = errors.New("platform: the write may have taken effect")
 )
 
 // MaxValue is the largest value that the service holds, in bytes.
--- a/internal/runner/event.go
+++ b/internal/runner/event.go
@@ -21,15 +21,15 @@
 	Name       string
 	Run        uint32
 	Payload    string
-	Needs      worker.Room
+	Needs      worker.Resources
 	Checkpoint string
 	// MaxWait is how long the task may wait for room.
 	MaxWait time.Duration
 	// Expected is the usual time of the task.
 	Expected time.Duration
 	Priority int
-	// IsKept is set if the end must not be forgotten before the owner has noted it.
-	IsKept bool
+	// IsDurable is set if the end must not be forgotten before the owner has noted it.
+	IsDurable bool
 }
 
 // Event is what happens to a runner; the types below are all there are.
@@ -44,33 +44,33 @@
 // SessionClosed is the end of a connection.
 type SessionClosed struct{ Session SessionID }
 
-// PongHeard is the echo of a ping that was sent at a time.
-type PongHeard struct {
+// PongReceived is the echo of a ping that was sent at a time.
+type PongReceived struct {
 	Session SessionID
 	Sent    time.Time
 }
 
-// StartAsked is an entry's wish to run a task; Number counts the starts of the session.
-type StartAsked struct {
+// StartRequested is an entry's wish to run a task; Number counts the starts of the session.
+type StartRequested struct {
 	Session SessionID
 	Number  uint64
 	Task    Task
 }
 
-// StopAsked is an entry's wish to end a task.
-type StopAsked struct {
+// StopRequested is an entry's wish to end a task.
+type StopRequested struct {
 	Session SessionID
 	Name    string
 }
 
-// EndNoted says that an owner has noted the end of a run for good.
-type EndNoted struct {
+// EndAcknowledged says that an owner has noted the end of a run for good.
+type EndAcknowledged struct {
 	Name string
 	Run  uint32
 }
 
-// WorkerSeen is a heartbeat of the worker.
-type WorkerSeen struct{ Record worker.Record }
+// HeartbeatReceived is a heartbeat of the worker.
+type HeartbeatReceived struct{ Record worker.Record }
 
 // WorkerRecalled is the worker as an earlier process of the agent knew it. It may have another life by now.
 type WorkerRecalled struct{ Record worker.Record }
@@ -80,69 +80,69 @@
 
 // StartAnswered is what became of a call to start a run.
 type StartAnswered struct {
-	Life   string
-	Name   string
-	Run    uint32
-	Result worker.StartResult
+	Incarnation string
+	Name        string
+	Run         uint32
+	Result      worker.StartResult
 }
 
 // StopAnswered is what became of a call to stop a run.
 type StopAnswered struct {
-	Life   string
-	Name   string
-	Run    uint32
-	Result worker.StopResult
+	Incarnation string
+	Name        string
+	Run         uint32
+	Result      worker.StopResult
 }
 
-// HoldAnswered is what became of a call to hold and list the runs, made at a time.
-type HoldAnswered struct {
-	Life   string
-	Asked  time.Time
-	Waited bool
-	Result worker.HoldResult
+// RenewAnswered is what became of a call to hold and list the runs, made at a time.
+type RenewAnswered struct {
+	Incarnation string
+	Sent        time.Time
+	LongPoll    bool
+	Result      worker.RenewResult
 }
 
-// LeaveAsked makes the runner take no new tasks.
-type LeaveAsked struct{}
+// ShutdownRequested makes the runner take no new tasks.
+type ShutdownRequested struct{}
 
 // Ticked lets time pass.
 type Ticked struct{}
 
-func (SessionOpened) isEvent()  {}
-func (SessionClosed) isEvent()  {}
-func (PongHeard) isEvent()      {}
-func (StartAsked) isEvent()     {}
-func (StopAsked) isEvent()      {}
-func (EndNoted) isEvent()       {}
-func (WorkerSeen) isEvent()     {}
-func (WorkerRecalled) isEvent() {}
-func (WorkerLeft) isEvent()     {}
-func (StartAnswered) isEvent()  {}
-func (StopAnswered) isEvent()   {}
-func (HoldAnswered) isEvent()   {}
-func (LeaveAsked) isEvent()     {}
-func (Ticked) isEvent()         {}
+func (SessionOpened) isEvent()     {}
+func (SessionClosed) isEvent()     {}
+func (PongReceived) isEvent()      {}
+func (StartRequested) isEvent()    {}
+func (StopRequested) isEvent()     {}
+func (EndAcknowledged) isEvent()   {}
+func (HeartbeatReceived) isEvent() {}
+func (WorkerRecalled) isEvent()    {}
+func (WorkerLeft) isEvent()        {}
+func (StartAnswered) isEvent()     {}
+func (StopAnswered) isEvent()      {}
+func (RenewAnswered) isEvent()     {}
+func (ShutdownRequested) isEvent() {}
+func (Ticked) isEvent()            {}
 
 // Effect is what a runner wants done; the types below are all there are.
 type Effect interface{ isEffect() }
 
 // CallStart starts a run at the worker. It must not be sent after Before.
 type CallStart struct {
-	Life   string
-	Start  worker.Start
-	Before time.Time
+	Incarnation string
+	Start       worker.StartRequest
+	Before      time.Time
 }
 
 // CallStop stops a run at the worker.
 type CallStop struct {
-	Life string
-	Stop worker.Stop
+	Incarnation string
+	Stop        worker.StopRequest
 }
 
-// CallHold prolongs what runs at the worker and asks for its lists.
-type CallHold struct {
-	Life string
-	Hold worker.Hold
+// CallRenew prolongs what runs at the worker and asks for its lists.
+type CallRenew struct {
+	Incarnation string
+	Renew       worker.RenewRequest
 }
 
 // SendPing pings an entry.
@@ -178,7 +178,7 @@
 
 func (CallStart) isEffect()    {}
 func (CallStop) isEffect()     {}
-func (CallHold) isEffect()     {}
+func (CallRenew) isEffect()    {}
 func (SendPing) isEffect()     {}
 func (SendWorker) isEffect()   {}
 func (SendLoad) isEffect()     {}
@@ -187,9 +187,9 @@
 
 // Load is the state of the worker as entries are told.
 type Load struct {
-	Used    worker.Room
-	Accepts bool
-	Leaving bool
+	Used         worker.Resources
+	Accepts      bool
+	ShuttingDown bool
 	// Slowness is how many times its usual time a task takes here.
 	Slowness float64
 	// FailureRate is the share of the latest runs that failed.
@@ -231,6 +231,6 @@
 	Outcome    Outcome
 	Reason     string
 	Checkpoint string
-	// Unnoted is set if the update goes to every entry, as nobody has noted the end yet.
-	Unnoted bool
+	// Unacknowledged is set if the update goes to every entry, as nobody has noted the end yet.
+	Unacknowledged bool
 }
--- a/internal/runner/fakeworker_test.go
+++ b/internal/runner/fakeworker_test.go
@@ -24,13 +24,13 @@
 // fakeWorker is a worker as the users' page describes it, on virtual time.
 type fakeWorker struct {
 	id       string
-	capacity worker.Room
+	capacity worker.Resources
 	origin   time.Time
 	hold     time.Duration
 	stopTime time.Duration
 	fence    uint64
 	runs     map[string]*fakeRun
-	needs    func(name string) worker.Room
+	needs    func(name string) worker.Resources
 	// hidesStopping leaves a run out of the listing from its stop on, though it goes on until its end is listed.
 	hidesStopping bool
 	// highest is the highest run of each task that was stopped or has ended.
@@ -43,7 +43,7 @@
 	last  time.Time
 }
 
-func newFakeWorker(id string, origin time.Time, capacity worker.Room, needs func(string) worker.Room) *fakeWorker {
+func newFakeWorker(id string, origin time.Time, capacity worker.Resources, needs func(string) worker.Resources) *fakeWorker {
 	return &fakeWorker{
 		id: id, capacity: capacity, origin: origin, hold: time.Second, stopTime: 50 * time.Millisecond, needs: needs,
 		runs: make(map[string]*fakeRun), highest: make(map[string]uint32), begun: make(map[string]int), done: make(map[string]int),
@@ -83,14 +83,14 @@
 		case !r.ends.After(now) && w.clock(r.ends) <= r.until:
 			w.end(name, r, worker.EndingDone)
 		case w.clock(now) > r.until:
-			w.end(name, r, worker.EndingLapsed)
+			w.end(name, r, worker.EndingLeaseExpired)
 		}
 	}
 	w.last = now
 }
 
-func (w *fakeWorker) used() worker.Room {
-	var used worker.Room
+func (w *fakeWorker) used() worker.Resources {
+	var used worker.Resources
 	for name := range w.runs {
 		used = used.Plus(w.needs(name))
 	}
@@ -112,10 +112,10 @@
 	}
 }
 
-func (w *fakeWorker) start(now time.Time, life string, s worker.Start, takes time.Duration, fails bool) worker.StartResult {
+func (w *fakeWorker) start(now time.Time, life string, s worker.StartRequest, takes time.Duration, fails bool) worker.StartResult {
 	w.advance(now)
 	if life != w.id {
-		return worker.OtherLife{Reply: w.reply(now)}
+		return worker.WrongIncarnation{Reply: w.reply(now)}
 	}
 	if w.isFenced(s.Fence) {
 		return worker.Fenced{Reply: w.reply(now)}
@@ -126,22 +126,22 @@
 	if s.Run <= w.highest[s.Name] || w.runs[s.Name] != nil {
 		return worker.Outdated{Reply: w.reply(now)}
 	}
-	if s.Until <= w.clock(now) {
+	if s.LeaseUntil <= w.clock(now) {
 		return worker.TooLate{Reply: w.reply(now)}
 	}
-	w.lease(now, s.Until)
+	w.lease(now, s.LeaseUntil)
 	if !w.needs(s.Name).Fits(w.capacity.Minus(w.used())) {
-		return worker.NoRoom{Reply: w.reply(now)}
+		return worker.InsufficientResources{Reply: w.reply(now)}
 	}
-	w.runs[s.Name] = &fakeRun{run: s.Run, ends: now.Add(takes), fails: fails, until: min(s.Until, w.clock(now)+w.hold)}
+	w.runs[s.Name] = &fakeRun{run: s.Run, ends: now.Add(takes), fails: fails, until: min(s.LeaseUntil, w.clock(now)+w.hold)}
 	w.begun[s.Name]++
 	return worker.Accepted{Reply: w.reply(now)}
 }
 
-func (w *fakeWorker) stop(now time.Time, life string, s worker.Stop) worker.StopResult {
+func (w *fakeWorker) stop(now time.Time, life string, s worker.StopRequest) worker.StopResult {
 	w.advance(now)
 	if life != w.id {
-		return worker.OtherLife{Reply: w.reply(now)}
+		return worker.WrongIncarnation{Reply: w.reply(now)}
 	}
 	if w.isFenced(s.Fence) {
 		return worker.Fenced{Reply: w.reply(now)}
@@ -153,16 +153,16 @@
 	return worker.Accepted{Reply: w.reply(now)}
 }
 
-func (w *fakeWorker) list(now time.Time, life string, h worker.Hold) worker.HoldResult {
+func (w *fakeWorker) list(now time.Time, life string, h worker.RenewRequest) worker.RenewResult {
 	w.advance(now)
 	if life != w.id {
-		return worker.OtherLife{Reply: w.reply(now)}
+		return worker.WrongIncarnation{Reply: w.reply(now)}
 	}
 	if w.isFenced(h.Fence) {
 		return worker.Fenced{Reply: w.reply(now)}
 	}
-	w.lease(now, h.Until)
-	w.ends = slices.DeleteFunc(w.ends, func(e worker.End) bool { return e.Number <= h.LastSeen })
+	w.lease(now, h.LeaseUntil)
+	w.ends = slices.DeleteFunc(w.ends, func(e worker.End) bool { return e.Number <= h.AcknowledgedEnd })
 	listing := worker.Listing{Reply: w.reply(now), Ended: slices.Clone(w.ends)}
 	for name, r := range w.runs {
 		if w.hidesStopping && !r.stopping.IsZero() {
--- a/internal/runner/health.go
+++ b/internal/runner/health.go
@@ -15,16 +15,16 @@
 const (
 	// healthWeight is the weight of the latest run in the worker's averages.
 	healthWeight = 0.12
-	// healthMemory is the time in which the averages go back to those of a sound worker by two thirds: a worker
+	// healthDecay is the time in which the averages go back to those of a sound worker by two thirds: a worker
 	// that gets no tasks could not show that it is sound again.
-	healthMemory = 3 * time.Second
-	// leastJobs is how many jobs must have runs that go on before they tell of the worker's speed: what one job
+	healthDecay = 3 * time.Second
+	// minJobs is how many jobs must have runs that go on before they tell of the worker's speed: what one job
 	// says of its usual time is often off by a factor of two.
-	leastJobs = 3
-	// leastElapsed is how long a run must have gone on before its progress tells of its speed.
-	leastElapsed = 30 * time.Millisecond
-	// whole is the progress of a run that is done, in percent.
-	whole = 100
+	minJobs = 3
+	// minElapsed is how long a run must have gone on before its progress tells of its speed.
+	minElapsed = 30 * time.Millisecond
+	// percentDone is the progress of a run that is done, in percent.
+	percentDone = 100
 )
 
 // health averages how the worker's latest runs went.
@@ -32,13 +32,13 @@
 	failures float64
 	// stretch is how many times their usual time the runs took, less one.
 	stretch float64
-	// present is the same for the runs that go on.
-	present float64
-	faded   time.Time
+	// runningStretch is the same for the runs that go on.
+	runningStretch float64
+	decayedAt      time.Time
 }
 
-// ended takes in the end of a run.
-func (h *health) ended(t *task, ending worker.Ending, now time.Time) {
+// recordEnd takes in the end of a run.
+func (h *health) recordEnd(t *task, ending worker.Ending, now time.Time) {
 	switch ending {
 	case worker.EndingDone:
 		h.failures -= h.failures * healthWeight
@@ -55,36 +55,36 @@
 	return float64(now.Sub(t.began)) / float64(t.Expected)
 }
 
-// outlook returns how many times its usual time the run will have taken in the end, going by its progress when
+// projectedStretch returns how many times its usual time the run will have taken in the end, going by its progress when
 // it was last listed.
-func (t *task) outlook() float64 {
-	return t.stretch(t.looked) * whole / float64(min(max(t.progress, 1), whole))
+func (t *task) projectedStretch() float64 {
+	return t.stretch(t.listedAt) * percentDone / float64(min(max(t.progress, 1), percentDone))
 }
 
-// look lets the averages fade and takes in the runs that go on.
-func (h *health) look(now time.Time, active []*task) {
-	if !h.faded.IsZero() {
-		kept := math.Exp(-float64(now.Sub(h.faded)) / float64(healthMemory))
+// update lets the averages fade and takes in the runs that go on.
+func (h *health) update(now time.Time, active []*task) {
+	if !h.decayedAt.IsZero() {
+		kept := math.Exp(-float64(now.Sub(h.decayedAt)) / float64(healthDecay))
 		h.failures *= kept
 		h.stretch *= kept
 	}
-	h.faded = now
-	h.present = presentStretch(active)
+	h.decayedAt = now
+	h.runningStretch = medianRunningStretch(active)
 }
 
-// presentStretch returns the median outlook of the jobs whose runs go on, less one; 0 if they are too few to tell.
-func presentStretch(active []*task) float64 {
+// medianRunningStretch returns the median outlook of the jobs whose runs go on, less one; 0 if they are too few to tell.
+func medianRunningStretch(active []*task) float64 {
 	sums := make(map[string]float64)
 	counts := make(map[string]float64)
 	for _, t := range active {
-		if t.state != stateRunning || t.Expected <= 0 || t.looked.Sub(t.began) < leastElapsed {
+		if t.state != stateRunning || t.Expected <= 0 || t.listedAt.Sub(t.began) < minElapsed {
 			continue
 		}
 		job, _, _ := strings.Cut(t.Name, ".")
-		sums[job] += t.outlook()
+		sums[job] += t.projectedStretch()
 		counts[job]++
 	}
-	if len(sums) < leastJobs {
+	if len(sums) < minJobs {
 		return 0
 	}
 	outlooks := make([]float64, 0, len(sums))
@@ -97,4 +97,4 @@
 
 func (h *health) failureRate() float64 { return h.failures }
 
-func (h *health) slowness() float64 { return 1 + max(h.stretch, h.present) }
+func (h *health) slowness() float64 { return 1 + max(h.stretch, h.runningStretch) }
--- a/internal/runner/health_test.go
+++ b/internal/runner/health_test.go
@@ -14,7 +14,7 @@
 var lookedAt = time.Unix(1000, 0)
 
 func runningTask(name string, began time.Time, expected time.Duration, progress int) *task {
-	return &task{Task: Task{Name: name, Expected: expected}, state: stateRunning, began: began, progress: progress, looked: lookedAt}
+	return &task{Task: Task{Name: name, Expected: expected}, state: stateRunning, began: began, progress: progress, listedAt: lookedAt}
 }
 
 func TestAHangingWorkerIsSeenByItsRuns(t *testing.T) {
@@ -34,7 +34,7 @@
 	}
 	for _, c := range cases {
 		var h health
-		h.look(now, c.active)
+		h.update(now, c.active)
 		if slow := h.slowness() > 2; slow != c.slow {
 			t.Errorf("%s: slowness %.1f", c.name, h.slowness())
 		}
@@ -45,16 +45,16 @@
 	now := time.Unix(1000, 0)
 	var h health
 	for range 20 {
-		h.ended(runningTask("a.0.0.0", now.Add(-time.Second), 100*time.Millisecond, 0), worker.EndingDone, now)
-		h.ended(runningTask("a.0.0.0", now, 100*time.Millisecond, 0), worker.EndingFailed, now)
+		h.recordEnd(runningTask("a.0.0.0", now.Add(-time.Second), 100*time.Millisecond, 0), worker.EndingDone, now)
+		h.recordEnd(runningTask("a.0.0.0", now, 100*time.Millisecond, 0), worker.EndingFailed, now)
 	}
-	h.look(now, nil)
+	h.update(now, nil)
 	if h.slowness() < 3 || h.failureRate() < 0.3 {
 		t.Fatalf("slowness %.1f, failures %.2f", h.slowness(), h.failureRate())
 	}
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		h.look(now, nil)
+		h.update(now, nil)
 	}
 	if h.slowness() > 1.5 || h.failureRate() > 0.1 {
 		t.Fatalf("after 10 s: slowness %.1f, failures %.2f", h.slowness(), h.failureRate())
--- a/internal/runner/random_test.go
+++ b/internal/runner/random_test.go
@@ -97,12 +97,12 @@
 
 func (s *schedule) chance(share float64) bool { return s.random.Float64() < share }
 
-func needs(string) worker.Room { return worker.Room{CPU: taskCPU} }
+func needs(string) worker.Resources { return worker.Resources{CPU: taskCPU} }
 
 func (s *schedule) newLife() {
 	s.lives++
 	earlier := s.worker
-	s.worker = newFakeWorker(fmt.Sprintf("life-%d", s.lives), s.now.Add(-s.between(0, time.Hour)), worker.Room{CPU: 4 * taskCPU}, needs)
+	s.worker = newFakeWorker(fmt.Sprintf("life-%d", s.lives), s.now.Add(-s.between(0, time.Hour)), worker.Resources{CPU: 4 * taskCPU}, needs)
 	s.worker.hidesStopping = s.lives%2 == 0
 	if earlier != nil {
 		// What ran is counted over all lives.
@@ -122,7 +122,7 @@
 		return
 	}
 	record := worker.Record{ID: w.id, Service: "service", Capacity: w.capacity, Sequence: sequence, Clock: w.clock(s.now)}
-	s.after(s.between(0, 5*time.Millisecond), func() { s.handle(WorkerSeen{Record: record}) })
+	s.after(s.between(0, 5*time.Millisecond), func() { s.handle(HeartbeatReceived{Record: record}) })
 	s.after(1500*time.Millisecond, func() { s.beat(w, sequence+1) })
 }
 
@@ -174,11 +174,11 @@
 
 // checkUse checks that the runner's count of what is taken fits its tasks.
 func (s *schedule) checkUse() {
-	if s.runner.life == nil {
+	if s.runner.worker == nil {
 		return
 	}
-	if used := len(s.runner.active()) * taskCPU; used != s.runner.life.used.CPU {
-		s.t.Fatalf("the runner counts %d as taken, its tasks take %d", s.runner.life.used.CPU, used)
+	if used := len(s.runner.active()) * taskCPU; used != s.runner.worker.used.CPU {
+		s.t.Fatalf("the runner counts %d as taken, its tasks take %d", s.runner.worker.used.CPU, used)
 	}
 }
 
@@ -186,22 +186,22 @@
 	switch e := effect.(type) {
 	case CallStart:
 		takes, fails := s.between(20*time.Millisecond, 900*time.Millisecond), s.chance(0.05)
-		s.call(func() any { return s.worker.start(s.now, e.Life, e.Start, takes, fails) }, func(result any) Event {
-			return StartAnswered{Life: e.Life, Name: e.Start.Name, Run: e.Start.Run, Result: result.(worker.StartResult)}
+		s.call(func() any { return s.worker.start(s.now, e.Incarnation, e.Start, takes, fails) }, func(result any) Event {
+			return StartAnswered{Incarnation: e.Incarnation, Name: e.Start.Name, Run: e.Start.Run, Result: result.(worker.StartResult)}
 		})
 	case CallStop:
-		s.call(func() any { return s.worker.stop(s.now, e.Life, e.Stop) }, func(result any) Event {
-			return StopAnswered{Life: e.Life, Name: e.Stop.Name, Run: e.Stop.Run, Result: result.(worker.StopResult)}
+		s.call(func() any { return s.worker.stop(s.now, e.Incarnation, e.Stop) }, func(result any) Event {
+			return StopAnswered{Incarnation: e.Incarnation, Name: e.Stop.Name, Run: e.Stop.Run, Result: result.(worker.StopResult)}
 		})
-	case CallHold:
-		asked := s.now
-		s.call(func() any { return s.worker.list(s.now, e.Life, e.Hold) }, func(result any) Event {
-			return HoldAnswered{Life: e.Life, Asked: asked, Waited: e.Hold.Wait > 0, Result: result.(worker.HoldResult)}
+	case CallRenew:
+		sent := s.now
+		s.call(func() any { return s.worker.list(s.now, e.Incarnation, e.Renew) }, func(result any) Event {
+			return RenewAnswered{Incarnation: e.Incarnation, Sent: sent, LongPoll: e.Renew.Wait > 0, Result: result.(worker.RenewResult)}
 		})
 	case SendPing:
 		entry := s.entries[e.Session]
 		if entry != nil && !entry.silent {
-			s.after(s.between(time.Millisecond, 6*time.Millisecond), func() { s.handle(PongHeard{Session: e.Session, Sent: e.Time}) })
+			s.after(s.between(time.Millisecond, 6*time.Millisecond), func() { s.handle(PongReceived{Session: e.Session, Sent: e.Time}) })
 		}
 	case SendUpdate:
 		s.update(e)
@@ -310,12 +310,12 @@
 	{
 		entry.number++
 		entry.open[name] = true
-		s.handle(StartAsked{Session: id, Number: entry.number, Task: Task{
-			Name: name, Run: 1, Needs: worker.Room{CPU: taskCPU}, Expected: 300 * time.Millisecond,
+		s.handle(StartRequested{Session: id, Number: entry.number, Task: Task{
+			Name: name, Run: 1, Needs: worker.Resources{CPU: taskCPU}, Expected: 300 * time.Millisecond,
 			MaxWait: s.between(0, 300*time.Millisecond),
 		}})
 		if s.chance(0.1) {
-			s.after(s.between(0, 300*time.Millisecond), func() { s.handle(StopAsked{Session: id, Name: name}) })
+			s.after(s.between(0, 300*time.Millisecond), func() { s.handle(StopRequested{Session: id, Name: name}) })
 		}
 	}
 }
--- a/internal/runner/script_test.go
+++ b/internal/runner/script_test.go
@@ -56,12 +56,12 @@
 	run := uint32(number(t, d, "run", 1))
 	switch d.Cmd {
 	case "worker":
-		return s.handle(WorkerSeen{Record: worker.Record{
-			ID: first, Service: "svc", Capacity: worker.Room{CPU: number(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
+		return s.handle(HeartbeatReceived{Record: worker.Record{
+			ID: first, Service: "svc", Capacity: worker.Resources{CPU: number(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
 			Sequence: uint64(s.now.UnixMilli()), Clock: s.clock(),
 		}})
 	case "recall":
-		return s.handle(WorkerRecalled{Record: worker.Record{ID: first, Service: "svc", Capacity: worker.Room{CPU: 4000}}})
+		return s.handle(WorkerRecalled{Record: worker.Record{ID: first, Service: "svc", Capacity: worker.Resources{CPU: 4000}}})
 	case "gone":
 		return s.handle(WorkerLeft{ID: first})
 	case "open":
@@ -69,30 +69,30 @@
 	case "close":
 		return s.handle(SessionClosed{Session: session})
 	case "pong":
-		return s.handle(PongHeard{Session: session, Sent: s.now.Add(-time.Duration(number(t, d, "ago", 0)) * time.Millisecond)})
+		return s.handle(PongReceived{Session: session, Sent: s.now.Add(-time.Duration(number(t, d, "ago", 0)) * time.Millisecond)})
 	case "start":
 		s.number++
-		return s.handle(StartAsked{Session: session, Number: s.number, Task: Task{
-			Name: first, Run: run, Needs: worker.Room{CPU: number(t, d, "cpu", 1000)}, Expected: 100 * time.Millisecond,
-			MaxWait: time.Duration(number(t, d, "wait", 0)) * time.Millisecond, IsKept: d.HasArg("kept"),
+		return s.handle(StartRequested{Session: session, Number: s.number, Task: Task{
+			Name: first, Run: run, Needs: worker.Resources{CPU: number(t, d, "cpu", 1000)}, Expected: 100 * time.Millisecond,
+			MaxWait: time.Duration(number(t, d, "wait", 0)) * time.Millisecond, IsDurable: d.HasArg("kept"),
 		}})
 	case "noted":
-		return s.handle(EndNoted{Name: first, Run: run})
+		return s.handle(EndAcknowledged{Name: first, Run: run})
 	case "stop":
-		return s.handle(StopAsked{Session: session, Name: first})
+		return s.handle(StopRequested{Session: session, Name: first})
 	case "started":
-		return s.handle(StartAnswered{Life: life, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key)})
+		return s.handle(StartAnswered{Incarnation: life, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key)})
 	case "stopped":
-		return s.handle(StopAnswered{Life: life, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key).(worker.StopResult)})
+		return s.handle(StopAnswered{Incarnation: life, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key).(worker.StopResult)})
 	case "listed":
-		return s.handle(HoldAnswered{Life: life, Asked: s.now, Result: s.listing(t, d)})
+		return s.handle(RenewAnswered{Incarnation: life, Sent: s.now, Result: s.listing(t, d)})
 	case "unlisted":
-		return s.handle(HoldAnswered{Life: life, Asked: s.now, Waited: d.HasArg("waited"), Result: worker.Unanswered{}})
+		return s.handle(RenewAnswered{Incarnation: life, Sent: s.now, LongPoll: d.HasArg("waited"), Result: worker.Unanswered{}})
 	case "wait":
 		s.now = s.now.Add(time.Duration(number(t, d, "ms", 0)) * time.Millisecond)
 		return s.handle(Ticked{})
 	case "leave":
-		return s.handle(LeaveAsked{})
+		return s.handle(ShutdownRequested{})
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
 		return ""
@@ -102,8 +102,8 @@
 func (s *script) startResult(t *testing.T, name string) worker.StartResult {
 	results := map[string]worker.StartResult{
 		"accepted": worker.Accepted{Reply: s.reply()}, "unanswered": worker.Unanswered{}, "outdated": worker.Outdated{Reply: s.reply()},
-		"fenced": worker.Fenced{Reply: s.reply()}, "late": worker.TooLate{Reply: s.reply()}, "no_room": worker.NoRoom{Reply: s.reply()},
-		"unhealthy": worker.Unhealthy{Reply: s.reply()}, "other_life": worker.OtherLife{Reply: s.reply()}, "not_reached": worker.NotReached{},
+		"fenced": worker.Fenced{Reply: s.reply()}, "late": worker.TooLate{Reply: s.reply()}, "no_room": worker.InsufficientResources{Reply: s.reply()},
+		"unhealthy": worker.Unhealthy{Reply: s.reply()}, "other_life": worker.WrongIncarnation{Reply: s.reply()}, "not_reached": worker.NotReached{},
 		"invalid": worker.Invalid{Reply: s.reply(), Reason: "x"},
 	}
 	result, ok := results[name]
@@ -115,7 +115,7 @@
 
 // listing reads the runs of a listing: NAME=RUN for one that goes on, NAME=(RUN,ENDING) for one that has ended.
 func (s *script) listing(t *testing.T, d *datadriven.TestData) worker.Listing {
-	endings := map[string]worker.Ending{"done": worker.EndingDone, "failed": worker.EndingFailed, "stopped": worker.EndingStopped, "lapsed": worker.EndingLapsed}
+	endings := map[string]worker.Ending{"done": worker.EndingDone, "failed": worker.EndingFailed, "stopped": worker.EndingStopped, "lapsed": worker.EndingLeaseExpired}
 	l := worker.Listing{Reply: s.reply()}
 	for _, arg := range d.CmdArgs {
 		var run uint32
@@ -138,18 +138,18 @@
 	for _, effect := range s.runner.Handle(s.now, event) {
 		switch e := effect.(type) {
 		case CallStart:
-			fmt.Fprintf(&out, "call start %s run=%d for %s fence=%d\n", e.Start.Name, e.Start.Run, e.Start.Until-s.clock(), e.Start.Fence)
+			fmt.Fprintf(&out, "call start %s run=%d for %s fence=%d\n", e.Start.Name, e.Start.Run, e.Start.LeaseUntil-s.clock(), e.Start.Fence)
 		case CallStop:
 			fmt.Fprintf(&out, "call stop %s run=%d fence=%d\n", e.Stop.Name, e.Stop.Run, e.Stop.Fence)
-		case CallHold:
+		case CallRenew:
 			lease := "none"
-			if e.Hold.Until > 0 {
-				lease = (e.Hold.Until - s.clock()).String()
+			if e.Renew.LeaseUntil > 0 {
+				lease = (e.Renew.LeaseUntil - s.clock()).String()
 			}
-			fmt.Fprintf(&out, "call hold lease=%s last=%d wait=%s\n", lease, e.Hold.LastSeen, e.Hold.Wait)
+			fmt.Fprintf(&out, "call hold lease=%s last=%d wait=%s\n", lease, e.Renew.AcknowledgedEnd, e.Renew.Wait)
 		case SendUpdate:
 			unnoted := ""
-			if e.Update.Unnoted {
+			if e.Update.Unacknowledged {
 				unnoted = " unnoted"
 			}
 			fmt.Fprintf(&out, "tell %d: %s run=%d %s %s%s\n", e.Session, e.Update.Name, e.Update.Run, e.Update.Outcome, e.Update.Reason, unnoted)
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -10,62 +10,62 @@
 	"sailhead/internal/worker"
 )
 
-// dropWaiting refuses the tasks that have waited for too long.
-func (r *Runner) dropWaiting(now time.Time) {
+// expireQueued refuses the tasks that have waited for too long.
+func (r *Runner) expireQueued(now time.Time) {
 	for _, t := range slices.Clone(r.queue) {
 		if now.Sub(t.arrived) > t.MaxWait {
 			r.unqueue(t)
-			r.forget(t, OutcomeNotStarted, "no room in time")
+			r.finish(t, OutcomeNotStarted, "no room in time")
 		}
 	}
 }
 
-// fill starts waiting tasks while there is room, the most urgent first.
-func (r *Runner) fill(now time.Time) {
-	if len(r.queue) == 0 || r.refusal(now) != "" || now.Before(r.life.fullUntil) {
-		r.bounce()
+// startQueued starts waiting tasks while there is room, the most urgent first.
+func (r *Runner) startQueued(now time.Time) {
+	if len(r.queue) == 0 || r.refusalReason(now) != "" || now.Before(r.worker.fullUntil) {
+		r.rejectUnplaced()
 		return
 	}
 	slices.SortStableFunc(r.queue, func(a, b *task) int { return a.Priority - b.Priority })
 	for _, t := range slices.Clone(r.queue) {
-		if !t.Needs.Fits(r.life.record.Capacity.Minus(r.life.used)) {
+		if !t.Needs.Fits(r.worker.record.Capacity.Minus(r.worker.used)) {
 			continue
 		}
 		r.unqueue(t)
-		if !r.isValid(now, t.session) {
-			r.forget(t, OutcomeNotStarted, "the session has ended")
+		if !r.isSessionValid(now, t.session) {
+			r.finish(t, OutcomeNotStarted, "the session has ended")
 			continue
 		}
 		r.start(now, t)
 	}
-	r.bounce()
+	r.rejectUnplaced()
 }
 
-// bounce refuses at once the tasks that found no room and must not wait.
-func (r *Runner) bounce() {
+// rejectUnplaced refuses at once the tasks that found no room and must not wait.
+func (r *Runner) rejectUnplaced() {
 	for _, t := range slices.Clone(r.queue) {
-		if t.MaxWait == 0 && !t.again {
+		if t.MaxWait == 0 && !t.rerunAfterStop {
 			r.unqueue(t)
-			r.forget(t, OutcomeNotStarted, "no room")
+			r.finish(t, OutcomeNotStarted, "no room")
 		}
 	}
 }
 
 func (r *Runner) start(now time.Time, t *task) {
 	t.state = stateStarting
-	t.again = false
+	t.rerunAfterStop = false
 	t.began = now
 	t.progress = 0
-	t.looked = now
-	r.life.used = r.life.used.Plus(t.Needs)
-	r.life.granted = now
-	r.markLoad()
+	t.listedAt = now
+	r.worker.used = r.worker.used.Plus(t.Needs)
+	r.worker.lastRenewal = now
+	r.markLoadDue()
 	r.emit(CallStart{
-		Life:   r.life.record.ID,
-		Before: r.sessions[t.session].valid,
-		Start: worker.Start{
+		Incarnation: r.worker.record.ID,
+		Before:      r.sessions[t.session].validUntil,
+		Start: worker.StartRequest{
 			Name: t.Name, Run: t.Run, Payload: t.Payload, Checkpoint: t.Checkpoint,
-			Until: r.until(now), Fence: r.fence,
+			LeaseUntil: r.leaseUntil(now), Fence: r.fence,
 		},
 	})
 }
@@ -73,15 +73,15 @@
 // requeue lets a task run again, first in the queue.
 func (r *Runner) requeue(t *task) {
 	t.state = stateQueued
-	t.again = true
-	r.life.used = r.life.used.Minus(t.Needs)
+	t.rerunAfterStop = true
+	r.worker.used = r.worker.used.Minus(t.Needs)
 	r.queue = append([]*task{t}, r.queue...)
-	r.markLoad()
+	r.markLoadDue()
 }
 
 // current returns the task of an answer if it is about the present run at the present life.
-func (r *Runner) current(lifeID, name string, run uint32) (*task, bool) {
-	if r.life == nil || r.life.record.ID != lifeID {
+func (r *Runner) current(incarnation, name string, run uint32) (*task, bool) {
+	if r.worker == nil || r.worker.record.ID != incarnation {
 		return nil, false
 	}
 	t, ok := r.tasks[name]
@@ -91,11 +91,11 @@
 	return t, true
 }
 
-func (r *Runner) startAnswered(now time.Time, e StartAnswered) {
-	t, ok := r.current(e.Life, e.Name, e.Run)
+func (r *Runner) handleStartAnswer(now time.Time, e StartAnswered) {
+	t, ok := r.current(e.Incarnation, e.Name, e.Run)
 	if !ok || t.state != stateStarting {
 		// A stop is under way: it settles the run, whatever became of the start.
-		r.heed(now, e.Life, e.Result)
+		r.handleWorkerState(now, e.Incarnation, e.Result)
 		return
 	}
 	switch result := e.Result.(type) {
@@ -103,7 +103,7 @@
 		r.readClock(result.Clock, result.Received)
 		t.state = stateRunning
 		t.mayHaveRun = true
-		r.send(t.session, Update{Name: t.Name, Run: t.Run, Outcome: OutcomeStarted})
+		r.sendUpdate(t.session, Update{Name: t.Name, Run: t.Run, Outcome: OutcomeStarted})
 	case worker.Outdated:
 		r.requeue(t)
 		t.Run += runStep
@@ -113,21 +113,21 @@
 	case worker.TooLate:
 		r.readClock(result.Clock, result.Received)
 		r.requeue(t)
-	case worker.NoRoom:
-		r.life.fullUntil = now.Add(holdPause)
-		r.forget(t, OutcomeNotStarted, "the worker has no room")
+	case worker.InsufficientResources:
+		r.worker.fullUntil = now.Add(renewInterval)
+		r.finish(t, OutcomeNotStarted, "the worker has no room")
 	case worker.Unhealthy:
-		r.heed(now, e.Life, e.Result)
-		r.forget(t, OutcomeNotStarted, "the worker is unhealthy")
+		r.handleWorkerState(now, e.Incarnation, e.Result)
+		r.finish(t, OutcomeNotStarted, "the worker is unhealthy")
 	case worker.Invalid:
-		r.forget(t, OutcomeNotStarted, "the worker does not understand the start: "+result.Reason)
+		r.finish(t, OutcomeNotStarted, "the worker does not understand the start: "+result.Reason)
 	case worker.Unanswered:
 		t.state = stateChecking
 		t.mayHaveRun = true
-		t.checkAfter = now
-		r.list(now)
+		t.resolveAfter = now
+		r.requestListing(now)
 	default:
-		r.heed(now, e.Life, e.Result)
+		r.handleWorkerState(now, e.Incarnation, e.Result)
 	}
 }
 
@@ -136,19 +136,19 @@
 	r.fence += fenceStep
 }
 
-// heed takes in what any answer says of the worker itself.
-func (r *Runner) heed(now time.Time, lifeID string, result any) {
-	if r.life == nil || r.life.record.ID != lifeID {
+// handleWorkerState takes in what any answer says of the worker itself.
+func (r *Runner) handleWorkerState(now time.Time, incarnation string, result any) {
+	if r.worker == nil || r.worker.record.ID != incarnation {
 		return
 	}
 	switch result.(type) {
 	case worker.NotReached:
-		r.endLife("the worker is not there")
-	case worker.OtherLife:
-		r.addPast(lifeID)
-		r.endLife("another life of the worker answers")
+		r.endIncarnation("the worker is not there")
+	case worker.WrongIncarnation:
+		r.rememberEnded(incarnation)
+		r.endIncarnation("another life of the worker answers")
 	case worker.Unhealthy:
-		r.life.unhealthyUntil = now.Add(unhealthyTime)
-		r.markLoad()
+		r.worker.unhealthyUntil = now.Add(unhealthyBackoff)
+		r.markLoadDue()
 	}
 }
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -34,66 +34,66 @@
 	arrived time.Time
 	// began is when the start was sent, for the present run.
 	began time.Time
-	// stopping is when the last stop was sent, and stopAnswered when the worker took one.
-	stopping     time.Time
+	// lastStopSent is when the last stop was sent, and stopAnswered when the worker took one.
+	lastStopSent time.Time
 	stopAnswered time.Time
-	// checkAfter makes only listings that were asked for later tell about the run.
-	checkAfter time.Time
+	// resolveAfter makes only listings that were asked for later tell about the run.
+	resolveAfter time.Time
 	// mayHaveRun is set once a run may have begun.
 	mayHaveRun bool
-	// again is set while the task is to run once more after the present run is settled.
-	again bool
-	// successor is the same task of a newer session, which waits for this one to end.
-	successor *task
+	// rerunAfterStop is set while the task is to run once more after the present run is settled.
+	rerunAfterStop bool
+	// supersededBy is the same task of a newer session, which waits for this one to end.
+	supersededBy *task
 	// progress is the run's progress when it was last listed, and looked when that was.
 	progress int
-	looked   time.Time
+	listedAt time.Time
 }
 
-// askStart takes a task in or says that it is not started.
-func (r *Runner) askStart(now time.Time, e StartAsked) {
+// handleStart takes a task in or says that it is not started.
+func (r *Runner) handleStart(now time.Time, e StartRequested) {
 	s, ok := r.sessions[e.Session]
 	if !ok {
 		return
 	}
-	s.handled = max(s.handled, e.Number)
+	s.handledStarts = max(s.handledStarts, e.Number)
 	s.loadDue = true
 	if earlier, exists := r.tasks[e.Task.Name]; exists && earlier.session == e.Session {
 		return
 	}
-	reason := r.refusal(now)
-	if reason == "" && !r.isValid(now, e.Session) {
+	reason := r.refusalReason(now)
+	if reason == "" && !r.isSessionValid(now, e.Session) {
 		reason = "the session's lease has run out"
 	}
 	if reason == "" && len(r.queue) >= r.limits.Queue {
 		reason = "the queue is full"
 	}
 	if reason != "" {
-		r.send(e.Session, Update{Name: e.Task.Name, Run: e.Task.Run, Outcome: OutcomeNotStarted, Reason: reason})
+		r.sendUpdate(e.Session, Update{Name: e.Task.Name, Run: e.Task.Run, Outcome: OutcomeNotStarted, Reason: reason})
 		return
 	}
 	t := &task{Task: e.Task, session: e.Session, arrived: now}
 	if earlier, exists := r.tasks[e.Task.Name]; exists {
-		r.replace(now, earlier, t)
+		r.supersede(now, earlier, t)
 		return
 	}
 	r.tasks[t.Name] = t
 	r.queue = append(r.queue, t)
 }
 
-// successionWait is how long a task may wait for an earlier run of it to end.
-const successionWait = 500 * time.Millisecond
+// supersedeTimeout is how long a task may wait for an earlier run of it to end.
+const supersedeTimeout = 500 * time.Millisecond
 
-// replace ends a task that another session owned; the newer one waits for that end.
-func (r *Runner) replace(now time.Time, earlier, t *task) {
-	t.again = true
-	t.MaxWait = max(t.MaxWait, successionWait)
+// supersede ends a task that another session owned; the newer one waits for that end.
+func (r *Runner) supersede(now time.Time, earlier, t *task) {
+	t.rerunAfterStop = true
+	t.MaxWait = max(t.MaxWait, supersedeTimeout)
 	t.Run = max(t.Run, earlier.Run+1)
-	earlier.successor = t
+	earlier.supersededBy = t
 	r.stop(now, earlier)
 }
 
-func (r *Runner) askStop(now time.Time, e StopAsked) {
+func (r *Runner) handleStop(now time.Time, e StopRequested) {
 	t, ok := r.tasks[e.Name]
 	if ok && t.session == e.Session {
 		r.stop(now, t)
@@ -111,11 +111,11 @@
 
 // stop ends a task wherever it stands.
 func (r *Runner) stop(now time.Time, t *task) {
-	t.again = false
+	t.rerunAfterStop = false
 	switch t.state {
 	case stateQueued:
 		r.unqueue(t)
-		r.forget(t, OutcomeNotStarted, "the task was stopped before its start")
+		r.finish(t, OutcomeNotStarted, "the task was stopped before its start")
 	case stateStopping:
 	default:
 		r.beginStop(now, t)
@@ -145,24 +145,24 @@
 	}
 }
 
-// forget drops a task and tells its owner the outcome.
-func (r *Runner) forget(t *task, outcome Outcome, reason string) {
+// finish drops a task and tells its owner the outcome.
+func (r *Runner) finish(t *task, outcome Outcome, reason string) {
 	delete(r.tasks, t.Name)
-	if t.state != stateQueued && r.life != nil {
-		r.life.used = r.life.used.Minus(t.Needs)
+	if t.state != stateQueued && r.worker != nil {
+		r.worker.used = r.worker.used.Minus(t.Needs)
 	}
-	r.markLoad()
+	r.markLoadDue()
 	if outcome == OutcomeNotStarted && t.mayHaveRun {
 		outcome = OutcomeStopped
 	}
-	r.send(t.session, Update{Name: t.Name, Run: t.Run, Outcome: outcome, Reason: reason, Checkpoint: t.Checkpoint})
-	if t.successor != nil {
-		r.tasks[t.Name] = t.successor
-		r.queue = append(r.queue, t.successor)
+	r.sendUpdate(t.session, Update{Name: t.Name, Run: t.Run, Outcome: outcome, Reason: reason, Checkpoint: t.Checkpoint})
+	if t.supersededBy != nil {
+		r.tasks[t.Name] = t.supersededBy
+		r.queue = append(r.queue, t.supersededBy)
 	}
 }
 
-func (r *Runner) send(id SessionID, update Update) {
+func (r *Runner) sendUpdate(id SessionID, update Update) {
 	if _, ok := r.sessions[id]; ok {
 		r.emit(SendUpdate{Session: id, Update: update})
 	}
--- a/internal/session/agent.go
+++ b/internal/session/agent.go
@@ -70,18 +70,18 @@
 	case *sessionpb.FromEntry_Hello:
 		s.post(runner.SessionOpened{Session: id, Entry: message.Hello.Entry})
 	case *sessionpb.FromEntry_Pong:
-		s.post(runner.PongHeard{Session: id, Sent: s.started.Add(time.Duration(message.Pong.Time))})
+		s.post(runner.PongReceived{Session: id, Sent: s.started.Add(time.Duration(message.Pong.Time))})
 	case *sessionpb.FromEntry_Start:
-		s.post(runner.StartAsked{Session: id, Number: message.Start.Number, Task: unpackStart(message.Start)})
+		s.post(runner.StartRequested{Session: id, Number: message.Start.Number, Task: unpackStart(message.Start)})
 	case *sessionpb.FromEntry_Noted:
-		s.post(runner.EndNoted{Name: message.Noted.Task, Run: message.Noted.Run})
+		s.post(runner.EndAcknowledged{Name: message.Noted.Task, Run: message.Noted.Run})
 	case *sessionpb.FromEntry_Stop:
-		s.post(runner.StopAsked{Session: id, Name: message.Stop.Task})
+		s.post(runner.StopRequested{Session: id, Name: message.Stop.Task})
 	}
 }
 
-// Carry sends an effect to its entry; effects of other kinds are left alone.
-func (s *Server) Carry(effect runner.Effect) {
+// Send sends an effect to its entry; effects of other kinds are left alone.
+func (s *Server) Send(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.SendPing:
 		ping := &sessionpb.Ping{Time: int64(e.Time.Sub(s.started)), Incarnation: s.incarnation}
--- a/internal/session/convert.go
+++ b/internal/session/convert.go
@@ -31,15 +31,15 @@
 	return &sessionpb.FromEntry{Message: &sessionpb.FromEntry_Start{Start: &sessionpb.Start{
 		Number: number, Task: t.Name, Run: t.Run, Payload: t.Payload,
 		Cpu: count(t.Needs.CPU), Memory: count(t.Needs.Memory), Gpu: count(t.Needs.GPU),
-		Checkpoint: t.Checkpoint, WaitMs: millis(t.MaxWait), ExpectedMs: millis(t.Expected), Priority: count(t.Priority), Kept: t.IsKept,
+		Checkpoint: t.Checkpoint, WaitMs: millis(t.MaxWait), ExpectedMs: millis(t.Expected), Priority: count(t.Priority), Kept: t.IsDurable,
 	}}}
 }
 
 func unpackStart(s *sessionpb.Start) runner.Task {
 	return runner.Task{
 		Name: s.Task, Run: s.Run, Payload: s.Payload, Checkpoint: s.Checkpoint,
-		Needs:   worker.Room{CPU: int(s.Cpu), Memory: int(s.Memory), GPU: int(s.Gpu)},
-		MaxWait: duration(s.WaitMs), Expected: duration(s.ExpectedMs), Priority: int(s.Priority), IsKept: s.Kept,
+		Needs:   worker.Resources{CPU: int(s.Cpu), Memory: int(s.Memory), GPU: int(s.Gpu)},
+		MaxWait: duration(s.WaitMs), Expected: duration(s.ExpectedMs), Priority: int(s.Priority), IsDurable: s.Kept,
 	}
 }
 
@@ -53,22 +53,22 @@
 func unpackWorker(w *sessionpb.Worker) worker.Record {
 	return worker.Record{
 		ID: w.Id, Service: w.Service, Zone: w.Zone, Labels: w.Labels,
-		Capacity: worker.Room{CPU: int(w.Cpu), Memory: int(w.Memory), GPU: int(w.Gpu)},
+		Capacity: worker.Resources{CPU: int(w.Cpu), Memory: int(w.Memory), GPU: int(w.Gpu)},
 	}
 }
 
 func packLoad(handled uint64, l runner.Load) *sessionpb.FromAgent {
 	return &sessionpb.FromAgent{Message: &sessionpb.FromAgent_Load{Load: &sessionpb.Load{
 		Handled: handled, Cpu: count(l.Used.CPU), Memory: count(l.Used.Memory), Gpu: count(l.Used.GPU),
-		Accepts: l.Accepts, Leaving: l.Leaving,
+		Accepts: l.Accepts, Leaving: l.ShuttingDown,
 		Slowness: count(int(l.Slowness * hundred)), FailureRate: count(int(l.FailureRate * hundred)),
 	}}}
 }
 
 func unpackLoad(l *sessionpb.Load) runner.Load {
 	return runner.Load{
-		Used:    worker.Room{CPU: int(l.Cpu), Memory: int(l.Memory), GPU: int(l.Gpu)},
-		Accepts: l.Accepts, Leaving: l.Leaving,
+		Used:    worker.Resources{CPU: int(l.Cpu), Memory: int(l.Memory), GPU: int(l.Gpu)},
+		Accepts: l.Accepts, ShuttingDown: l.Leaving,
 		Slowness: float64(l.Slowness) / hundred, FailureRate: float64(l.FailureRate) / hundred,
 	}
 }
@@ -76,13 +76,13 @@
 func packUpdate(u runner.Update) *sessionpb.FromAgent {
 	return &sessionpb.FromAgent{Message: &sessionpb.FromAgent_Update{Update: &sessionpb.Update{
 		Task: u.Name, Run: u.Run, Outcome: sessionpb.Outcome(u.Outcome), Reason: u.Reason,
-		Checkpoint: u.Checkpoint, Unnoted: u.Unnoted,
+		Checkpoint: u.Checkpoint, Unnoted: u.Unacknowledged,
 	}}}
 }
 
 func unpackUpdate(u *sessionpb.Update) runner.Update {
 	return runner.Update{
 		Name: u.Task, Run: u.Run, Outcome: runner.Outcome(u.Outcome), Reason: u.Reason,
-		Checkpoint: u.Checkpoint, Unnoted: u.Unnoted,
+		Checkpoint: u.Checkpoint, Unacknowledged: u.Unnoted,
 	}
 }
--- a/internal/session/entry.go
+++ b/internal/session/entry.go
@@ -20,8 +20,8 @@
 
 // AgentHandler hears what an agent says on a session.
 type AgentHandler interface {
-	// Heard is called for every message before the others.
-	Heard()
+	// MessageReceived is called for every message before the others.
+	MessageReceived()
 	// Incarnation tells which process of the agent the session is with.
 	Incarnation(int64)
 	Worker(worker.Record)
@@ -29,27 +29,27 @@
 	Update(runner.Update)
 }
 
-// ToAgent is an entry's end of a session.
-type ToAgent struct {
+// AgentConn is an entry's end of a session.
+type AgentConn struct {
 	connection *connection
 }
 
 // Dial opens a session with an agent in the name of an entry.
-func Dial(ctx context.Context, address, entry string) (*ToAgent, error) {
+func Dial(ctx context.Context, address, entry string) (*AgentConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "session: unable to reach the agent %s", address)
 	}
-	s := &ToAgent{connection: newConnection(conn)}
+	s := &AgentConn{connection: newConnection(conn)}
 	s.connection.send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Hello{Hello: &sessionpb.Hello{Entry: entry}}})
 	return s, nil
 }
 
 // Serve hands what the agent says to the handler until the session ends. Pings are echoed here.
-func (s *ToAgent) Serve(handler AgentHandler) error {
+func (s *AgentConn) Serve(handler AgentHandler) error {
 	return read(s.connection, func(m *sessionpb.FromAgent) {
-		handler.Heard()
+		handler.MessageReceived()
 		switch message := m.Message.(type) {
 		case *sessionpb.FromAgent_Ping:
 			handler.Incarnation(message.Ping.Incarnation)
@@ -65,21 +65,21 @@
 }
 
 // Start asks the agent to run a task; number counts the starts of the session.
-func (s *ToAgent) Start(number uint64, task runner.Task) {
+func (s *AgentConn) Start(number uint64, task runner.Task) {
 	s.connection.send(packStart(number, task))
 }
 
 // Stop asks the agent to end a task.
-func (s *ToAgent) Stop(name string) {
+func (s *AgentConn) Stop(name string) {
 	s.connection.send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Stop{Stop: &sessionpb.Stop{Task: name}}})
 }
 
-// Noted tells the agent that the end of a run is kept.
-func (s *ToAgent) Noted(name string, run uint32) {
+// AcknowledgeEnd tells the agent that the end of a run is kept.
+func (s *AgentConn) AcknowledgeEnd(name string, run uint32) {
 	s.connection.send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Noted{Noted: &sessionpb.Noted{Task: name, Run: run}}})
 }
 
 // Close ends the session at once.
-func (s *ToAgent) Close() {
+func (s *AgentConn) Close() {
 	s.connection.close()
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -24,7 +24,7 @@
 	incarnation *atomic.Int64
 }
 
-func (h heard) Heard()                      {}
+func (h heard) MessageReceived()            {}
 func (h heard) Incarnation(n int64)         { h.incarnation.Store(n) }
 func (h heard) Worker(record worker.Record) { h.messages <- record }
 func (h heard) Load(handled uint64, load runner.Load) {
@@ -44,7 +44,7 @@
 }
 
 // pair opens a session between an entry and an agent on loopback.
-func pair(t *testing.T) (*ToAgent, *Server, heard, chan runner.Event) {
+func pair(t *testing.T) (*AgentConn, *Server, heard, chan runner.Event) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -69,23 +69,23 @@
 		t.Fatalf("%+v", opened)
 	}
 	task := runner.Task{
-		Name: "j.0.0.1", Run: 3, Payload: "p", Needs: worker.Room{CPU: 1, Memory: 2, GPU: 3}, Checkpoint: "c",
+		Name: "j.0.0.1", Run: 3, Payload: "p", Needs: worker.Resources{CPU: 1, Memory: 2, GPU: 3}, Checkpoint: "c",
 		MaxWait: time.Second, Expected: 2 * time.Second, Priority: 4,
 	}
 	entry.Start(9, task)
 	entry.Stop("j.0.0.1")
-	if got, want := next(t, events), (runner.StartAsked{Session: opened.Session, Number: 9, Task: task}); !reflect.DeepEqual(got, want) {
+	if got, want := next(t, events), (runner.StartRequested{Session: opened.Session, Number: 9, Task: task}); !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v", got)
 	}
-	if got, want := next(t, events), (runner.StopAsked{Session: opened.Session, Name: "j.0.0.1"}); got != want {
+	if got, want := next(t, events), (runner.StopRequested{Session: opened.Session, Name: "j.0.0.1"}); got != want {
 		t.Fatalf("%+v", got)
 	}
-	record := worker.Record{ID: "i", Service: "s", Zone: "z", Capacity: worker.Room{CPU: 1, Memory: 2, GPU: 3}, Labels: []string{"a"}}
-	load := runner.Load{Used: worker.Room{CPU: 7}, Accepts: true, Leaving: true, Slowness: 1.5, FailureRate: 0.25}
+	record := worker.Record{ID: "i", Service: "s", Zone: "z", Capacity: worker.Resources{CPU: 1, Memory: 2, GPU: 3}, Labels: []string{"a"}}
+	load := runner.Load{Used: worker.Resources{CPU: 7}, Accepts: true, ShuttingDown: true, Slowness: 1.5, FailureRate: 0.25}
 	update := runner.Update{Name: "j.0.0.1", Run: 3, Outcome: runner.OutcomeFailed, Reason: "r", Checkpoint: "c"}
-	server.Carry(runner.SendWorker{Session: opened.Session, Record: record})
-	server.Carry(runner.SendLoad{Session: opened.Session, Handled: 9, Load: load})
-	server.Carry(runner.SendUpdate{Session: opened.Session, Update: update})
+	server.Send(runner.SendWorker{Session: opened.Session, Record: record})
+	server.Send(runner.SendLoad{Session: opened.Session, Handled: 9, Load: load})
+	server.Send(runner.SendUpdate{Session: opened.Session, Update: update})
 	for _, want := range []any{record, runner.SendLoad{Handled: 9, Load: load}, update} {
 		if got := next(t, h.messages); !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %+v, want %+v", got, want)
@@ -97,8 +97,8 @@
 	_, server, entrySide, events := pair(t)
 	opened := next(t, events).(runner.SessionOpened)
 	sent := time.Now().Add(-time.Minute)
-	server.Carry(runner.SendPing{Session: opened.Session, Time: sent})
-	pong := next(t, events).(runner.PongHeard)
+	server.Send(runner.SendPing{Session: opened.Session, Time: sent})
+	pong := next(t, events).(runner.PongReceived)
 	if got := entrySide.incarnation.Load(); got != 77 {
 		t.Errorf("incarnation %d", got)
 	}
@@ -115,7 +115,7 @@
 		t.Fatalf("%+v", got)
 	}
 	// What is sent on a closed session is dropped.
-	server.Carry(runner.SendPing{Session: opened.Session, Time: time.Now()})
+	server.Send(runner.SendPing{Session: opened.Session, Time: time.Now()})
 }
 
 func TestAPeerThatTakesNothingIsLost(t *testing.T) {
@@ -141,10 +141,10 @@
 
 func TestMessagesStaySmall(t *testing.T) {
 	ping := &sessionpb.FromAgent{Message: &sessionpb.FromAgent_Ping{Ping: &sessionpb.Ping{Time: int64(24 * time.Hour)}}}
-	load := packLoad(100_000, runner.Load{Used: worker.Room{CPU: 32_000, Memory: 1024}, Accepts: true, Slowness: 1, FailureRate: 0.1})
+	load := packLoad(100_000, runner.Load{Used: worker.Resources{CPU: 32_000, Memory: 1024}, Accepts: true, Slowness: 1, FailureRate: 0.1})
 	start := packStart(100_000, runner.Task{
 		Name: "5c0e7a21d94b36f8.0.1.17", Run: 1, Payload: string(make([]byte, 100)),
-		Needs: worker.Room{CPU: 3100, Memory: 64}, Expected: 200 * time.Millisecond, Priority: 1,
+		Needs: worker.Resources{CPU: 3100, Memory: 64}, Expected: 200 * time.Millisecond, Priority: 1,
 	})
 	update := packUpdate(runner.Update{Name: "5c0e7a21d94b36f8.0.1.17", Run: 1, Outcome: runner.OutcomeDone})
 	for name, c := range map[string]struct {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -6,35 +6,35 @@
 
 import "time"
 
-// Room is an amount of what a worker has: thousandths of a core, mebibytes and accelerators.
-type Room struct {
+// Resources is an amount of what a worker has: thousandths of a core, mebibytes and accelerators.
+type Resources struct {
 	CPU    int
 	Memory int
 	GPU    int
 }
 
 // Plus returns the sum of two amounts.
-func (r Room) Plus(other Room) Room {
-	return Room{CPU: r.CPU + other.CPU, Memory: r.Memory + other.Memory, GPU: r.GPU + other.GPU}
+func (r Resources) Plus(other Resources) Resources {
+	return Resources{CPU: r.CPU + other.CPU, Memory: r.Memory + other.Memory, GPU: r.GPU + other.GPU}
 }
 
 // Minus returns the difference of two amounts.
-func (r Room) Minus(other Room) Room {
-	return Room{CPU: r.CPU - other.CPU, Memory: r.Memory - other.Memory, GPU: r.GPU - other.GPU}
+func (r Resources) Minus(other Resources) Resources {
+	return Resources{CPU: r.CPU - other.CPU, Memory: r.Memory - other.Memory, GPU: r.GPU - other.GPU}
 }
 
 // Times returns the amount n times.
-func (r Room) Times(n int) Room {
-	return Room{CPU: r.CPU * n, Memory: r.Memory * n, GPU: r.GPU * n}
+func (r Resources) Times(n int) Resources {
+	return Resources{CPU: r.CPU * n, Memory: r.Memory * n, GPU: r.GPU * n}
 }
 
 // Fits reports whether the amount fits into the other.
-func (r Room) Fits(into Room) bool {
+func (r Resources) Fits(into Resources) bool {
 	return r.CPU <= into.CPU && r.Memory <= into.Memory && r.GPU <= into.GPU
 }
 
 // Count returns how many times the amount fits into the other, up to a largest number.
-func (r Room) Count(into Room, most int) int {
+func (r Resources) Count(into Resources, most int) int {
 	count := most
 	for _, each := range [...][2]int{{r.CPU, into.CPU}, {r.Memory, into.Memory}, {r.GPU, into.GPU}} {
 		if each[0] > 0 {
@@ -50,7 +50,7 @@
 	ID       string
 	Service  string
 	Zone     string
-	Capacity Room
+	Capacity Resources
 	Labels   []string
 	// Draining is set once the worker is to leave.
 	Draining bool
@@ -70,30 +70,30 @@
 	return false
 }
 
-// Start is the wish to start a run.
-type Start struct {
+// StartRequest is the wish to start a run.
+type StartRequest struct {
 	Name       string
 	Run        uint32
 	Payload    string
 	Checkpoint string
-	// Until is the end of the lease on the worker's clock.
-	Until time.Duration
-	Fence uint64
+	// LeaseUntil is the end of the lease on the worker's clock.
+	LeaseUntil time.Duration
+	Fence      uint64
 }
 
-// Stop is the wish to stop a run.
-type Stop struct {
+// StopRequest is the wish to stop a run.
+type StopRequest struct {
 	Name  string
 	Run   uint32
 	Fence uint64
 }
 
-// Hold is the wish to prolong the lease of all runs and to list them.
-type Hold struct {
-	// Until is the end of the lease on the worker's clock; nothing leaves it as it is.
-	Until    time.Duration
-	Fence    uint64
-	LastSeen uint64
+// RenewRequest is the wish to prolong the lease of all runs and to list them.
+type RenewRequest struct {
+	// LeaseUntil is the end of the lease on the worker's clock; nothing leaves it as it is.
+	LeaseUntil      time.Duration
+	Fence           uint64
+	AcknowledgedEnd uint64
 	// Wait is how long the answer may wait for an end.
 	Wait time.Duration
 }
@@ -112,8 +112,8 @@
 // StopResult is a worker's answer to a stop: Accepted, Fenced, NotReached, Unanswered, OtherLife or Unhealthy.
 type StopResult interface{ isStopResult() }
 
-// HoldResult is a worker's answer to a hold: Listing, Fenced, NotReached, Unanswered, OtherLife or Unhealthy.
-type HoldResult interface{ isHoldResult() }
+// RenewResult is a worker's answer to a hold: Listing, Fenced, NotReached, Unanswered, OtherLife or Unhealthy.
+type RenewResult interface{ isRenewResult() }
 
 // Accepted says that the worker did as told.
 type Accepted struct{ Reply }
@@ -127,8 +127,8 @@
 // TooLate says that the lease had run out before the start arrived.
 type TooLate struct{ Reply }
 
-// NoRoom says that the task does not fit.
-type NoRoom struct{ Reply }
+// InsufficientResources says that the task does not fit.
+type InsufficientResources struct{ Reply }
 
 // Invalid says that the worker does not understand the call.
 type Invalid struct {
@@ -139,8 +139,8 @@
 // Unhealthy says that the worker does nothing at present, and has done nothing.
 type Unhealthy struct{ Reply }
 
-// OtherLife says that another life of the worker answers at the address.
-type OtherLife struct{ Reply }
+// WrongIncarnation says that another life of the worker answers at the address.
+type WrongIncarnation struct{ Reply }
 
 // NotReached says that nothing listens at the worker's address.
 type NotReached struct{ Reason string }
@@ -166,8 +166,8 @@
 	EndingDone
 	EndingFailed
 	EndingStopped
-	// EndingLapsed says that the lease ran out, or that other members of the run's gang ended.
-	EndingLapsed
+	// EndingLeaseExpired says that the lease ran out, or that other members of the run's gang ended.
+	EndingLeaseExpired
 )
 
 // End is the end of a run; Number rises in each life of the worker.
@@ -186,30 +186,30 @@
 	Ended   []End
 }
 
-func (Accepted) isStartResult()   {}
-func (Fenced) isStartResult()     {}
-func (Outdated) isStartResult()   {}
-func (TooLate) isStartResult()    {}
-func (NoRoom) isStartResult()     {}
-func (Invalid) isStartResult()    {}
-func (Unhealthy) isStartResult()  {}
-func (OtherLife) isStartResult()  {}
-func (NotReached) isStartResult() {}
-func (Unanswered) isStartResult() {}
-
-func (Accepted) isStopResult()   {}
-func (Fenced) isStopResult()     {}
-func (Outdated) isStopResult()   {}
-func (Invalid) isStopResult()    {}
-func (Unhealthy) isStopResult()  {}
-func (OtherLife) isStopResult()  {}
-func (NotReached) isStopResult() {}
-func (Unanswered) isStopResult() {}
-
-func (Listing) isHoldResult()    {}
-func (Fenced) isHoldResult()     {}
-func (Invalid) isHoldResult()    {}
-func (Unhealthy) isHoldResult()  {}
-func (OtherLife) isHoldResult()  {}
-func (NotReached) isHoldResult() {}
-func (Unanswered) isHoldResult() {}
+func (Accepted) isStartResult()              {}
+func (Fenced) isStartResult()                {}
+func (Outdated) isStartResult()              {}
+func (TooLate) isStartResult()               {}
+func (InsufficientResources) isStartResult() {}
+func (Invalid) isStartResult()               {}
+func (Unhealthy) isStartResult()             {}
+func (WrongIncarnation) isStartResult()      {}
+func (NotReached) isStartResult()            {}
+func (Unanswered) isStartResult()            {}
+
+func (Accepted) isStopResult()         {}
+func (Fenced) isStopResult()           {}
+func (Outdated) isStopResult()         {}
+func (Invalid) isStopResult()          {}
+func (Unhealthy) isStopResult()        {}
+func (WrongIncarnation) isStopResult() {}
+func (NotReached) isStopResult()       {}
+func (Unanswered) isStopResult()       {}
+
+func (Listing) isRenewResult()          {}
+func (Fenced) isRenewResult()           {}
+func (Invalid) isRenewResult()          {}
+func (Unhealthy) isRenewResult()        {}
+func (WrongIncarnation) isRenewResult() {}
+func (NotReached) isRenewResult()       {}
+func (Unanswered) isRenewResult()       {}
