--- a/internal/dispatch/agent.go
+++ b/internal/dispatch/agent.go
@@ -4,8 +4,6 @@
 package dispatch
 
 import (
-	"time"
-
 	"sailhead/internal/runner"
 	"sailhead/internal/worker"
 )
@@ -72,8 +70,3 @@
 func (a *agent) isHealthy() bool {
 	return a.load.Slowness < slowLimit && a.load.FailureRate < failureLimit
 }
-
-// rerunDelay is how long after the loss of its session an agent's runs have surely ended: a living agent
-// stops them at the latest when the session's time is over, a dead one's leases run out then. It is the sum of
-// both times of the runner and some more, and less than the time after which a caller comes back.
-const rerunDelay = 1200 * time.Millisecond
--- a/internal/dispatch/durable.go
+++ b/internal/dispatch/durable.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sailhead/internal/runner"
+	"sailhead/internal/timing"
 )
 
 // DurableAccepted is a job that must be kept: it runs until all its tasks are done, whoever waits for it, and another part
@@ -51,10 +52,6 @@
 func (RecordEnd) isEffect()    {}
 func (DurableBegun) isEffect() {}
 
-// durableRerunDelay is how long after the loss of its agent a task that must be kept waits for the agent to come back
-// with what became of it: a run that was done must not run again.
-const durableRerunDelay = 8 * time.Second
-
 // acceptDurable takes a job in that must be kept.
 func (d *Dispatcher) acceptDurable(now time.Time, e DurableAccepted) {
 	if _, ok := d.jobs[e.Job.ID]; ok {
@@ -151,7 +148,7 @@
 // awaitsAgents reports whether a job of an earlier owner waits for agents without a session: one of them may know of an
 // end that nobody has noted. Those that stay away are not waited for longer than for an agent that was lost.
 func (d *Dispatcher) awaitsAgents(now time.Time, j *job) bool {
-	return !j.recoveredAt.IsZero() && len(d.agents) < d.knownAgents && now.Before(j.recoveredAt.Add(durableRerunDelay-rerunDelay))
+	return !j.recoveredAt.IsZero() && len(d.agents) < d.knownAgents && now.Before(j.recoveredAt.Add(timing.DurableRerunDelay-timing.RerunDelay))
 }
 
 // agentRecovered lets the tasks that were lost with an agent's session run again soon: the agent has heard its worker, and
@@ -162,19 +159,19 @@
 			continue
 		}
 		for _, t := range j.tasks {
-			if t.state == taskPending && t.agent == id && t.notBefore.After(now.Add(rerunDelay)) {
-				t.notBefore = now.Add(rerunDelay)
+			if t.state == taskPending && t.agent == id && t.notBefore.After(now.Add(timing.RerunDelay)) {
+				t.notBefore = now.Add(timing.RerunDelay)
 			}
 		}
 	}
 }
 
-// rerunDelay returns how long after the loss of its agent a task of the job may not run again.
+// timing.RerunDelay returns how long after the loss of its agent a task of the job may not run again.
 func (j *job) rerunDelay() time.Duration {
 	if j.isDurable {
-		return durableRerunDelay
+		return timing.DurableRerunDelay
 	}
-	return rerunDelay
+	return timing.RerunDelay
 }
 
 // DurableRuns counts the tasks of jobs that must be kept of which a run may go on, or may have ended unheard.
--- a/internal/dispatch/durable_test.go
+++ b/internal/dispatch/durable_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"sailhead/internal/runner"
+	"sailhead/internal/timing"
 	"sailhead/internal/worker"
 )
 
@@ -50,7 +51,7 @@
 	if runs := d.DurableRuns(now); runs != 2 {
 		t.Fatalf("%d runs after the loss of the agent's session", runs)
 	}
-	if runs := d.DurableRuns(now.Add(durableRerunDelay)); runs != 0 {
+	if runs := d.DurableRuns(now.Add(timing.DurableRerunDelay)); runs != 0 {
 		t.Fatalf("%d runs after the time in which the agent may come back", runs)
 	}
 }
@@ -64,12 +65,12 @@
 	}
 	now = now.Add(2 * time.Second)
 	d.Handle(now, AgentUp{Agent: from}, LoadReceived{Agent: from})
-	if starts := started(d.Handle(now.Add(rerunDelay), Ticked{})); len(starts) > 0 {
+	if starts := started(d.Handle(now.Add(timing.RerunDelay), Ticked{})); len(starts) > 0 {
 		t.Fatalf("started %v although the agent has not heard its worker", starts)
 	}
-	now = now.Add(rerunDelay)
+	now = now.Add(timing.RerunDelay)
 	d.Handle(now, LoadReceived{Agent: from, Load: runner.Load{Accepts: true}})
-	if starts := started(d.Handle(now.Add(rerunDelay), Ticked{})); len(starts) != 1 {
+	if starts := started(d.Handle(now.Add(timing.RerunDelay), Ticked{})); len(starts) != 1 {
 		t.Fatalf("started %v after the agent has come back", starts)
 	}
 }
@@ -122,7 +123,7 @@
 	left := keptJob("left", 1)
 	left.NotBefore = now.Add(3 * time.Second)
 	d.Handle(now.Add(3*time.Second), AgentDown{Agent: "b"}, left)
-	if starts := started(d.Handle(now.Add(3*time.Second+durableRerunDelay), Ticked{})); len(starts) != 1 {
+	if starts := started(d.Handle(now.Add(3*time.Second+timing.DurableRerunDelay), Ticked{})); len(starts) != 1 {
 		t.Fatalf("started %v after the time in which the agent may come back", starts)
 	}
 }
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"sailhead/internal/runner"
+	"sailhead/internal/timing"
 	"sailhead/internal/worker"
 )
 
@@ -192,7 +193,7 @@
 		a.downSince = s.now
 		for name := range a.tasks {
 			// The worst an agent's runs may do after the end of its session.
-			s.ghosts[name] = s.now.Add(rerunDelay - time.Millisecond)
+			s.ghosts[name] = s.now.Add(timing.RerunDelay - time.Millisecond)
 		}
 		a.tasks = make(map[string]*sentTask)
 		s.handle(AgentDown{Agent: a.id})
--- a/internal/dispatch/runs.go
+++ b/internal/dispatch/runs.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sailhead/internal/runner"
+	"sailhead/internal/timing"
 )
 
 func (d *Dispatcher) agentDown(now time.Time, id AgentID) {
@@ -18,7 +19,7 @@
 	d.emit(DecisionMade{Decision: DecisionAgentDown, Agent: id})
 	for name, last := range d.endingRuns {
 		if last.agent == id && last.endedBy.IsZero() {
-			d.endingRuns[name] = endingRun{agent: id, endedBy: now.Add(rerunDelay)}
+			d.endingRuns[name] = endingRun{agent: id, endedBy: now.Add(timing.RerunDelay)}
 		}
 	}
 	for _, j := range d.jobsInOrder() {
--- a/internal/durable/coordinator.go
+++ b/internal/durable/coordinator.go
@@ -26,9 +26,6 @@
 	driftDivisor = 20
 	// rankPause is how much longer an entry waits than the one before it until it claims a shard that nobody owns.
 	rankPause = 400 * time.Millisecond
-	// rerunDelay is how long after an earlier owner has surely stopped the jobs of a shard go on: agents stop its
-	// runs within the time of a session, and tell of ends that nobody has noted.
-	rerunDelay = 2500 * time.Millisecond
 )
 
 // Coordinator owns shards of the jobs that must be kept. It is not safe for concurrent use.
--- a/internal/durable/ownership.go
+++ b/internal/durable/ownership.go
@@ -8,6 +8,7 @@
 
 	"sailhead/internal/dispatch"
 	"sailhead/internal/durable/durablepb"
+	"sailhead/internal/timing"
 )
 
 func (c *Coordinator) load(now time.Time, s *shard) {
@@ -33,7 +34,7 @@
 		c.serveShard(s, time.Time{})
 	case previous.Name == c.self.Owner && previous.Address == c.self.Address:
 		// The earlier process is gone: this one has its addresses.
-		c.serveShard(s, now.Add(rerunDelay))
+		c.serveShard(s, now.Add(timing.RecoveryDelay))
 	default:
 		s.state = surrendering
 		c.emit(CallSurrender{Shard: s.number, Token: s.token, Address: previous.Address})
@@ -50,7 +51,7 @@
 	if !e.IsConfirmed {
 		stopped = s.claimed.Add(c.limits.LeaseTime)
 	}
-	c.serveShard(s, stopped.Add(rerunDelay))
+	c.serveShard(s, stopped.Add(timing.RecoveryDelay))
 }
 
 // serveShard begins to serve a shard.
--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -15,6 +15,7 @@
 	"sailhead/internal/durable"
 	"sailhead/internal/runner"
 	"sailhead/internal/session"
+	"sailhead/internal/timing"
 	"sailhead/internal/worker"
 )
 
@@ -26,10 +27,6 @@
 	forgetAfter = 10 * time.Minute
 	// livenessInterval is the time between two looks for silent agents.
 	livenessInterval = 50 * time.Millisecond
-	// suspectAfter is the silence from which an agent gets no new tasks.
-	suspectAfter = 300 * time.Millisecond
-	// closeAfter is the silence from which a session is ended.
-	closeAfter = 560 * time.Millisecond
 )
 
 // agentSession is the session with one agent; it hands what the agent says to the dispatcher.
@@ -207,12 +204,12 @@
 func (e *Entry) checkLiveness(s *agentSession) {
 	silence := time.Since(epoch) - time.Duration(s.lastMessage.Load())
 	switch {
-	case silence > closeAfter:
+	case silence > timing.CloseAfter:
 		s.toAgent.Close()
-	case silence > suspectAfter && !s.unresponsive:
+	case silence > timing.SuspectAfter && !s.unresponsive:
 		s.unresponsive = true
 		e.post(dispatch.AgentUnresponsive{Agent: s.id})
-	case silence <= suspectAfter && s.unresponsive:
+	case silence <= timing.SuspectAfter && s.unresponsive:
 		s.unresponsive = false
 		e.post(dispatch.AgentResponsive{Agent: s.id})
 	}
--- a/internal/entry/durable.go
+++ b/internal/entry/durable.go
@@ -11,6 +11,7 @@
 
 	"sailhead/internal/durable"
 	"sailhead/internal/metric"
+	"sailhead/internal/timing"
 )
 
 // DurableStore is the platform's store as the keeper of jobs sees it. No method decides anything: each makes its calls and
@@ -31,8 +32,6 @@
 const (
 	// statusTime is how long the state of a kept job is known after its end, beyond what the platform asks for.
 	statusTime = 130 * time.Second
-	// leaseTime is the time of the lease that an entry's claims live by.
-	leaseTime = 6 * time.Second
 	// commitShare is the part of the store's rate of writes that commits may take.
 	commitShare = 2
 	// durableTimeout is how long a request waits for the store to have written what it asks for.
@@ -45,7 +44,7 @@
 func (e *Entry) newCoordinator() *durable.Coordinator {
 	self := durable.Claim{Owner: e.self.Name, Address: e.self.Address, Incarnation: e.self.Incarnation}
 	return durable.New(self, durable.Limits{
-		Jobs: e.settings.Jobs, StatusTime: statusTime, LeaseTime: leaseTime, Commits: e.settings.StoreWrites / commitShare,
+		Jobs: e.settings.Jobs, StatusTime: statusTime, LeaseTime: timing.ClaimLease, Commits: e.settings.StoreWrites / commitShare,
 	})
 }
 
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -10,6 +10,7 @@
 	"sailhead/internal/dispatch"
 	"sailhead/internal/durable"
 	"sailhead/internal/metric"
+	"sailhead/internal/timing"
 )
 
 const (
@@ -88,14 +89,11 @@
 		func(ctx context.Context, address string) durable.Answer { return e.peers.Cancel(ctx, address, id) })
 }
 
-// storeUpdateLifetime is how long what the store said holds: a watch is answered sooner.
-const storeUpdateLifetime = 2500 * time.Millisecond
-
 // HasDurableJobs reports whether there may be jobs that must be kept: also if the store was not heard lately.
 func (e *Entry) HasDurableJobs() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.lastStoreUpdate) > storeUpdateLifetime {
+	if time.Since(e.lastStoreUpdate) > timing.StoreUpdateLifetime {
 		return true
 	}
 	for _, claim := range e.claims {
--- a/internal/runner/acknowledge.go
+++ b/internal/runner/acknowledge.go
@@ -8,22 +8,16 @@
 	"slices"
 	"time"
 
+	"sailhead/internal/timing"
 	"sailhead/internal/worker"
 )
 
 const (
 	// maxUnacknowledged is how many ends may wait for being noted: a worker lists no more than some hundred ends at a time.
 	maxUnacknowledged = 300
-	// resendInterval is the time between two tellings of an end that nobody has noted.
-	resendInterval = 300 * time.Millisecond
 	// unacknowledgedRenewInterval is the time between two holds while ends wait for being noted: a hold that waits would be answered
 	// at once.
 	unacknowledgedRenewInterval = 15 * time.Millisecond
-	// durableLossDelay is how much longer than its lease a kept task waits for a silent worker to be heard again: its run may
-	// have been done before, and must not run again then.
-	durableLossDelay = 7 * time.Second
-	// orphanEndTimeout is how long the ends of runs that an earlier process of the agent started wait for being noted.
-	orphanEndTimeout = 12 * time.Second
 )
 
 // unacknowledgedEnd is an end that the worker must not forget before an owner has noted it: the task would run again.
@@ -41,7 +35,7 @@
 
 // retainOrphanEnd keeps the end of a run that an earlier process started: it may be of a task that must be kept.
 func (r *Runner) retainOrphanEnd(now time.Time, end worker.End) {
-	until := r.worker.firstSeen.Add(orphanEndTimeout)
+	until := r.worker.firstSeen.Add(timing.OrphanEndTimeout)
 	if isOutcome(end.Ending) && now.Before(until) && len(r.worker.unacknowledged) < maxUnacknowledged {
 		r.worker.unacknowledged[end.Number] = &unacknowledgedEnd{update: updateOf(end), expires: until}
 	}
@@ -86,7 +80,7 @@
 		switch {
 		case !e.expires.IsZero() && now.After(e.expires):
 			delete(r.worker.unacknowledged, number)
-		case now.Sub(e.lastSent) >= resendInterval:
+		case now.Sub(e.lastSent) >= timing.EndResendInterval:
 			e.lastSent = now
 			r.sendUpdateToAll(e.update)
 		}
--- a/internal/runner/renew.go
+++ b/internal/runner/renew.go
@@ -6,6 +6,7 @@
 import (
 	"time"
 
+	"sailhead/internal/timing"
 	"sailhead/internal/worker"
 )
 
@@ -29,7 +30,7 @@
 	case r.awaitsListing():
 		return minRetryInterval
 	case r.hasActive():
-		return renewInterval
+		return timing.RenewInterval
 	default:
 		return idleRenewInterval
 	}
@@ -58,7 +59,7 @@
 	if e.LongPoll {
 		r.worker.longPolling = false
 		if _, isListing := e.Result.(worker.Listing); !isListing {
-			r.worker.longPollAfter = now.Add(renewInterval)
+			r.worker.longPollAfter = now.Add(timing.RenewInterval)
 		}
 	}
 	switch result := e.Result.(type) {
@@ -256,7 +257,7 @@
 // stopBound is how long after the answer to a stop the run may go on, by this process's clock. A worker need not list a
 // run that it is stopping, so a listing that lacks the run says that it has ended only if it was asked for later.
 func (r *Runner) stopBound() time.Duration {
-	return r.limits.Stop + r.limits.Stop/driftDivisor
+	return r.limits.Stop + r.limits.Stop/timing.ClockDriftDivisor
 }
 
 // stopConfirmed ends a run that the worker has taken a stop for and lists no longer.
@@ -271,13 +272,13 @@
 
 // expireLease gives up the runs of a worker whose leases have surely run out.
 func (r *Runner) expireLease(now time.Time) {
-	lease := r.limits.Lease + r.limits.Lease/driftDivisor + r.limits.Stop
+	lease := r.limits.Lease + r.limits.Lease/timing.ClockDriftDivisor + r.limits.Stop
 	over := now.Sub(r.worker.lastRenewal) - lease
 	if r.worker.lastRenewal.IsZero() || over <= 0 {
 		return
 	}
 	for _, t := range r.active() {
-		if t.state != stateStarting && (!t.IsDurable || over > durableLossDelay) {
+		if t.state != stateStarting && (!t.IsDurable || over > timing.DurableLossDelay) {
 			r.finish(t, OutcomeLost, "the worker is silent and the run's lease has run out")
 		}
 	}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -7,6 +7,7 @@
 	"math"
 	"time"
 
+	"sailhead/internal/timing"
 	"sailhead/internal/worker"
 )
 
@@ -28,23 +29,16 @@
 // are shorter than the time after which a caller comes back whose entry is gone.
 func DefaultLimits(hold, stop time.Duration) Limits {
 	return Limits{
-		Session: 600 * time.Millisecond, Ping: 120 * time.Millisecond,
-		Lease: min(hold, maxLease), Stop: stop, Queue: 512,
+		Session: timing.SessionLease, Ping: timing.PingInterval,
+		Lease: min(hold, timing.WorkerLease), Stop: stop, Queue: 512,
 	}
 }
 
-// maxLease is the longest lease that is asked for: a dead agent's runs have ended after it.
-const maxLease = 550 * time.Millisecond
-
 const (
-	// renewInterval is the time between two holds while tasks run.
-	renewInterval = 60 * time.Millisecond
 	// idleRenewInterval is the time between two holds while nothing runs.
 	idleRenewInterval = 300 * time.Millisecond
 	// longPollTimeout is how long a hold waits for an end at the worker.
 	longPollTimeout = 500 * time.Millisecond
-	// unresponsiveAfter is how long a worker may leave all holds unanswered before it gets no new leases.
-	unresponsiveAfter = 300 * time.Millisecond
 	// stopRetryInterval is the time between two calls to stop the same run.
 	stopRetryInterval = 40 * time.Millisecond
 	// minRetryInterval is the shortest time between two calls of which the first was not answered: a worker that ends
@@ -54,8 +48,6 @@
 	unhealthyBackoff = 400 * time.Millisecond
 	// loadInterval is the shortest time between two loads to a session.
 	loadInterval = 4 * time.Millisecond
-	// driftDivisor bounds the drift of the worker's clock: one part in so many.
-	driftDivisor = 50
 	// fenceStep is added to a fencing token that the worker has seen surpassed.
 	fenceStep = 1 << 20
 	// runStep is added to the number of a run that the worker calls outdated.
@@ -324,5 +316,5 @@
 
 // isUnresponsive reports whether the worker has left all holds unanswered for some time.
 func (l *incarnation) isUnresponsive(now time.Time) bool {
-	return now.Sub(l.lastAnswered) > unresponsiveAfter
+	return now.Sub(l.lastAnswered) > timing.WorkerUnresponsiveAfter
 }
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"sailhead/internal/timing"
 	"sailhead/internal/worker"
 )
 
@@ -114,7 +115,7 @@
 		r.readClock(result.Clock, result.Received)
 		r.requeue(t)
 	case worker.InsufficientResources:
-		r.worker.fullUntil = now.Add(renewInterval)
+		r.worker.fullUntil = now.Add(timing.RenewInterval)
 		r.finish(t, OutcomeNotStarted, "the worker has no room")
 	case worker.Unhealthy:
 		r.handleWorkerState(now, e.Incarnation, e.Result)
--- /dev/null
+++ b/internal/timing/timing.go
@@ -0,0 +1,103 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+// Package timing holds the times that keep two runs of one task apart when processes stop answering, and those that
+// decide when another process is taken for dead. They only make sense together: change one and the tests of this
+// package say which relation breaks.
+//
+// Each wait that ends in a second run of a task must be longer than everything that can keep the first run alive:
+//
+//	a session is cut    agent stops the entry's runs after SessionLease, the worker within StopTime
+//	the agent dies too  the worker's lease runs out WorkerLease after the last renewal
+//	entry reruns        RerunDelay after it lost the session: the sum of the three, of which StopTime covers the
+//	                    drift of the worker's clock (2 % of WorkerLease) if the agent died at the last moment
+//	caller retries      CallerRetryAfter, with nothing left of the job that it gave up
+//
+// Durable jobs must not lose the end of a run that was done, so they wait longer, for the agent or the worker to come
+// back and report it: DurableRerunDelay and DurableLossDelay.
+//
+// Figures marked "design" follow from the others or from the users' bounds and were not varied in a run.
+package timing
+
+import "time"
+
+// Given by the users' platform.
+const (
+	// CallerRetryAfter is when a caller submits its job again after silence or a broken connection. Source: resend_ms,
+	// 1,300 on every site.
+	CallerRetryAfter = 1300 * time.Millisecond
+	// StopTime is the longest time between the answer to a stop and the end of the run. Source: stop_ms, 50 on every
+	// site. Agents use their setting stop_time, which has the same source; entries have no such setting.
+	StopTime = 50 * time.Millisecond
+)
+
+// The session between an entry and an agent.
+const (
+	// PingInterval is the time between two pings of an agent on one session. Design: two lost pings are not yet
+	// SuspectAfter.
+	PingInterval = 120 * time.Millisecond
+	// SessionLease is how long an entry's runs may go on after the agent sent the last ping that the entry echoed. It
+	// counts on the agent's steady clock from when the ping was sent, so a late echo does not extend it. Design: five
+	// pings, and RerunDelay must stay below CallerRetryAfter.
+	SessionLease = 600 * time.Millisecond
+	// SuspectAfter is the silence of an agent after which an entry sends it no new tasks. Design: more than two pings,
+	// not measured.
+	SuspectAfter = 300 * time.Millisecond
+	// CloseAfter is the silence of an agent after which an entry closes the session. Design: before SessionLease, so
+	// that the agent has a new session to accept by the time it stops the old runs; not measured.
+	CloseAfter = 560 * time.Millisecond
+)
+
+// The lease between an agent and its worker.
+const (
+	// WorkerLease is the longest lease that an agent asks its worker for: the runs of an agent that died end after it.
+	// Measured: with 1,000 ms session and lease together outlasted CallerRetryAfter (commit bba2d87; score before and
+	// after within noise).
+	WorkerLease = 550 * time.Millisecond
+	// RenewInterval is the time between two renewals while runs are on the worker. Design: nine renewals in a lease,
+	// not measured.
+	RenewInterval = 60 * time.Millisecond
+	// WorkerUnresponsiveAfter is how long a worker may leave renewals unanswered before the agent takes no new tasks
+	// and stops extending the leases. Design: five renewals, not measured.
+	WorkerUnresponsiveAfter = 300 * time.Millisecond
+	// ClockDriftDivisor bounds the drift of a worker's clock: one part in 50, which is the 2 % of the users' page.
+	ClockDriftDivisor = 50
+)
+
+// RerunDelay is how long after an entry lost its session with an agent the agent's runs have ended: a living agent
+// stops them when the session's lease is over, and those of a dead agent end with the worker's lease.
+const RerunDelay = SessionLease + WorkerLease + StopTime
+
+// Durable jobs.
+const (
+	// DurableRerunDelay is how long a task of a durable job waits for its agent after the session was lost, before it
+	// runs again. A longer cut of an agent that holds an unrecorded end lets the task run twice. Measured: soak seed
+	// 803 ran a done task again after RerunDelay (commit 135f3ef); 8 s itself was not varied.
+	DurableRerunDelay = 8 * time.Second
+	// DurableLossDelay is how long beyond its lease an agent keeps a durable task of an unresponsive worker before it
+	// reports the run as lost. Measured: soak seed 1004 (commit 135f3ef); 7 s follow from DurableRerunDelay.
+	DurableLossDelay = 7 * time.Second
+	// OrphanEndTimeout is how long an agent keeps the ends of runs that its earlier process started, for an owner to
+	// record. Design: longer than a failover takes (ClaimLease + RecoveryDelay), not measured.
+	OrphanEndTimeout = 12 * time.Second
+	// ClaimLease is the time of the store's lease that an entry's claims of shards live by. Design: one renewal a
+	// second for each entry fits the store's rates; a shorter one was not tried.
+	ClaimLease = 6 * time.Second
+	// RecoveryDelay is how long after the earlier owner of a shard stopped the new one starts runs: agents stop its
+	// runs within SessionLease and report unrecorded ends within EndResendInterval. Design, not measured.
+	RecoveryDelay = 2500 * time.Millisecond
+	// EndResendInterval is the time between two reports of an end that no owner has recorded. Not measured.
+	EndResendInterval = 300 * time.Millisecond
+)
+
+// Changes of the platform's store.
+const (
+	// StoreWatchTimeout is how long a watch of the store waits for a change before it is answered empty. Not measured.
+	StoreWatchTimeout = 1500 * time.Millisecond
+	// StoreCallTimeout bounds a call to the store, beyond the time that a watch waits. Not measured; the store answers
+	// within 4 ms.
+	StoreCallTimeout = 700 * time.Millisecond
+	// StoreUpdateLifetime is how long after the last answer of the store an entry relies on what it said. Longer than
+	// a watch may take.
+	StoreUpdateLifetime = 2500 * time.Millisecond
+)
