--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -34,7 +34,7 @@
 	if isOwn {
 		d.finish(now, j, Interrupted{Reason: "the job was cancelled"})
 	}
-	e.Done(isOwn)
+	d.emit(CancelReply{Waiter: e.Waiter, Known: isOwn})
 }
 
 // drop forgets a job and stops its tasks.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -79,7 +79,7 @@
 	case DurableTaskEnded:
 		d.endDurableTask(now, e)
 	case StateRequested:
-		e.Done(d.stateOf(e.Job))
+		d.emit(StateReply{Waiter: e.Waiter, State: d.stateOf(e.Job)})
 	case AgentUp:
 		d.addAgent(&agent{id: e.Agent})
 		d.emit(DecisionMade{Decision: DecisionAgentUp, Agent: e.Agent})
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -76,16 +76,16 @@
 	Waiter Waiter
 }
 
-// CancelRequested is a caller's wish that a job ends.
+// CancelRequested asks to end a job; CancelReply answers it.
 type CancelRequested struct {
-	Job  string
-	Done func(known bool)
+	Job    string
+	Waiter Waiter
 }
 
-// StateRequested asks for the state of a job.
+// StateRequested asks for the state of a job; StateReply answers it.
 type StateRequested struct {
-	Job  string
-	Done func(JobState)
+	Job    string
+	Waiter Waiter
 }
 
 // JobState says how far a job is.
@@ -158,6 +158,18 @@
 	Answer  Answer
 }
 
+// StateReply answers a StateRequested.
+type StateReply struct {
+	Waiter Waiter
+	State  JobState
+}
+
+// CancelReply answers a CancelRequested. Known is false if no job of the id is under way here.
+type CancelReply struct {
+	Waiter Waiter
+	Known  bool
+}
+
 // StartTask asks an agent to run a task; Number counts the starts of the session.
 type StartTask struct {
 	Agent  AgentID
@@ -187,6 +199,8 @@
 }
 
 func (Reply) isEffect()        {}
+func (StateReply) isEffect()   {}
+func (CancelReply) isEffect()  {}
 func (StartTask) isEffect()    {}
 func (StopTask) isEffect()     {}
 func (DecisionMade) isEffect() {}
--- a/internal/durable/coordinator.go
+++ b/internal/durable/coordinator.go
@@ -71,7 +71,8 @@
 	case StateRequested:
 		c.queryState(now, e)
 	case PendingRequested:
-		e.Done(c.pending(e.Kind))
+		jobs, isComplete := c.pending(e.Kind)
+		c.emit(PendingReply{Waiter: e.Waiter, Jobs: jobs, IsComplete: isComplete})
 	case ActivationRequested:
 		c.activate(now)
 	case TaskEnded:
--- a/internal/durable/coordinator_test.go
+++ b/internal/durable/coordinator_test.go
@@ -76,8 +76,11 @@
 	const id = "00000000000000aa"
 	c, shard := newOwner(id)
 	count := func() (isComplete bool) {
-		c.Handle(testStart, PendingRequested{Kind: "k", Done: func(_ int, complete bool) { isComplete = complete }})
-		return isComplete
+		reply, ok := find[PendingReply](c.Handle(testStart, PendingRequested{Kind: "k", Waiter: 7}))
+		if !ok || reply.Waiter != 7 {
+			t.Fatalf("no reply to the request: %v", reply)
+		}
+		return reply.IsComplete
 	}
 	if count() {
 		t.Fatal("complete while the shard is being read")
--- a/internal/durable/event.go
+++ b/internal/durable/event.go
@@ -88,10 +88,10 @@
 }
 
 // PendingRequested asks for the number of jobs of a kind that are owned here and of which no task has begun.
+// PendingReply answers it.
 type PendingRequested struct {
-	Kind string
-	// Done is told the number, and whether the jobs of all shards that are claimed here are known.
-	Done func(jobs int, isComplete bool)
+	Kind   string
+	Waiter Waiter
 }
 
 // ActivationRequested makes the keeper claim shards that nobody owns.
@@ -159,7 +159,8 @@
 type SurrenderRequested struct {
 	Shard Shard
 	Token Token
-	Done  func()
+	// Waiter gets a SurrenderReply.
+	Waiter Waiter
 }
 
 // Surrendered is what the earlier owner of a shard answered.
@@ -298,6 +299,17 @@
 	Answer Answer
 }
 
+// PendingReply answers a PendingRequested.
+type PendingReply struct {
+	Waiter Waiter
+	Jobs   int
+	// IsComplete is false while the jobs of a shard that is claimed here are not read yet: Jobs is too low then.
+	IsComplete bool
+}
+
+// SurrenderReply answers a SurrenderRequested: nothing more is started for the shard here.
+type SurrenderReply struct{ Waiter Waiter }
+
 // ToDispatcher hands an event to the dispatcher.
 type ToDispatcher struct{ Event dispatch.Event }
 
@@ -324,6 +336,8 @@
 func (Commit) isEffect()         {}
 func (CallSurrender) isEffect()  {}
 func (Reply) isEffect()          {}
+func (PendingReply) isEffect()   {}
+func (SurrenderReply) isEffect() {}
 func (ToDispatcher) isEffect()   {}
 func (AcknowledgeEnd) isEffect() {}
 func (DecisionMade) isEffect()   {}
--- a/internal/durable/ownership.go
+++ b/internal/durable/ownership.go
@@ -100,7 +100,7 @@
 	if s.isHeld() && s.token < e.Token {
 		c.loseShard(s, "another entry asks for it")
 	}
-	e.Done()
+	c.emit(SurrenderReply{Waiter: e.Waiter})
 }
 
 // releaseShards gives all shards up for a planned stop: once nothing of them runs, or shortly before the end.
--- a/internal/durable/random_test.go
+++ b/internal/durable/random_test.go
@@ -276,7 +276,7 @@
 		}
 		isSure := !other.alive || !other.frozen
 		if other.alive && !other.frozen {
-			s.give(other, SurrenderRequested{Shard: call.Shard, Token: call.Token, Done: func() {}})
+			s.give(other, SurrenderRequested{Shard: call.Shard, Token: call.Token})
 		}
 		s.post(e, Surrendered{Shard: call.Shard, Token: call.Token, IsConfirmed: isSure})
 	}
--- a/internal/entry/durable.go
+++ b/internal/entry/durable.go
@@ -65,7 +65,11 @@
 	for _, effect := range effects {
 		switch ev := effect.(type) {
 		case durable.Reply:
-			e.replyDurable(ev.Waiter, ev.Answer)
+			e.durableWaiters.answer(ev.Waiter, ev.Answer)
+		case durable.PendingReply:
+			e.pendingWaiters.answer(ev.Waiter, ev)
+		case durable.SurrenderReply:
+			e.surrenderWaiters.answer(ev.Waiter, ev)
 		case durable.ToDispatcher:
 			e.dispatch(ev.Event)
 		case durable.AcknowledgeEnd:
@@ -111,18 +115,10 @@
 	_ = level.Info(e.logger).Log("msg", n.Decision, "shard", n.Shard, "token", n.Token, "detail", n.Detail, "shards", shards, "kept_jobs", jobs)
 }
 
-// AskLocal posts an event with a waiter and waits for the answer.
+// AskLocal posts an event with a waiter to the coordinator and returns its answer.
 func (e *Entry) AskLocal(ctx context.Context, event func(durable.Waiter) durable.Event) durable.Answer {
-	waiter := durable.Waiter(e.nextWaiter.Add(1))
-	answered := make(chan durable.Answer, 1)
-	e.mu.Lock()
-	e.durableWaiters[waiter] = answered
-	e.mu.Unlock()
-	defer func() {
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		delete(e.durableWaiters, waiter)
-	}()
+	waiter, answered := e.durableWaiters.add()
+	defer e.durableWaiters.remove(waiter)
 	e.postDurable(event(waiter))
 	select {
 	case answer := <-answered:
@@ -135,12 +131,3 @@
 		return durable.InDoubt{Reason: "the entry has stopped"}
 	}
 }
-
-func (e *Entry) replyDurable(waiter durable.Waiter, answer durable.Answer) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if answered, ok := e.durableWaiters[waiter]; ok {
-		answered <- answer
-		delete(e.durableWaiters, waiter)
-	}
-}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -80,13 +80,18 @@
 	duties         sync.WaitGroup
 	shuttingDown   atomic.Bool
 	seeds          atomic.Pointer[[]string]
-	nextWaiter     atomic.Uint64
 
-	mu      sync.Mutex
-	waiters map[dispatch.Waiter]chan dispatch.Answer
+	// The requests that wait for an answer of the event loop, by what they wait for.
+	jobWaiters       *waiters[dispatch.Waiter, dispatch.Answer]
+	stateWaiters     *waiters[dispatch.Waiter, dispatch.JobState]
+	cancelWaiters    *waiters[dispatch.Waiter, bool]
+	durableWaiters   *waiters[durable.Waiter, durable.Answer]
+	pendingWaiters   *waiters[durable.Waiter, durable.PendingReply]
+	surrenderWaiters *waiters[durable.Waiter, durable.SurrenderReply]
+
+	mu sync.Mutex
 	// durableWaiters are the requests that wait for the keeper; claims and ownerAddresses tell who owns the shards, and
 	// keptSeen that jobs that must be kept were ever known.
-	durableWaiters map[durable.Waiter]chan durable.Answer
 	claims         [durable.Shards]*durable.Claim
 	ownerAddresses []string
 	durableSeen    bool
@@ -111,10 +116,14 @@
 		dispatcher:    dispatch.New(dispatch.Limits{Jobs: settings.Jobs}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		events:        make(chan dispatch.Event, settings.Ring),
 		durableEvents: make(chan durable.Event, settings.Ring),
-		waiters:       make(map[dispatch.Waiter]chan dispatch.Answer),
 		sessions:      make(map[dispatch.AgentID]*agentSession),
 
-		durableWaiters: make(map[durable.Waiter]chan durable.Answer),
+		jobWaiters:       newWaiters[dispatch.Waiter, dispatch.Answer](),
+		stateWaiters:     newWaiters[dispatch.Waiter, dispatch.JobState](),
+		cancelWaiters:    newWaiters[dispatch.Waiter, bool](),
+		durableWaiters:   newWaiters[durable.Waiter, durable.Answer](),
+		pendingWaiters:   newWaiters[durable.Waiter, durable.PendingReply](),
+		surrenderWaiters: newWaiters[durable.Waiter, durable.SurrenderReply](),
 	}
 	e.coordinator = e.newCoordinator()
 	owners, closeOwners := durable.NewClient()
@@ -227,7 +236,13 @@
 func (e *Entry) apply(effect dispatch.Effect) {
 	switch ev := effect.(type) {
 	case dispatch.Reply:
-		e.reply(ev)
+		for _, waiter := range ev.Waiters {
+			e.jobWaiters.answer(waiter, ev.Answer)
+		}
+	case dispatch.StateReply:
+		e.stateWaiters.answer(ev.Waiter, ev.State)
+	case dispatch.CancelReply:
+		e.cancelWaiters.answer(ev.Waiter, ev.Known)
 	case dispatch.StartTask:
 		if s := e.session(ev.Agent); s != nil {
 			s.Start(ev.Number, ev.Task)
@@ -260,56 +275,3 @@
 	case <-e.context.Done():
 	}
 }
-
-// The most lines a second for decisions that went well, and for all others.
-const (
-	successLines = 20
-	otherLines   = 200
-)
-
-// count counts a decision.
-func (e *Entry) count(n dispatch.DecisionMade) {
-	switch n.Decision {
-	case dispatch.DecisionAnswered:
-		e.metrics.Add(metric.JobsPrefix+string(n.Outcome), 1)
-		e.answerTimes.Record(n.Kind+" "+string(n.Outcome), n.Age)
-	case dispatch.DecisionPlaced:
-		e.metrics.Add(metric.TasksStarted, 1)
-		if n.Run == 1 {
-			e.queueTimes.Record(n.Kind, n.Age)
-		}
-	case dispatch.DecisionEnded:
-		e.metrics.Add(metric.TasksEnded, 1)
-	}
-}
-
-// loggerFor returns the logger of a decision: those that went well are sampled, placements are for debugging.
-func (e *Entry) loggerFor(n dispatch.DecisionMade) log.Logger {
-	switch {
-	case n.Decision == dispatch.DecisionPlaced, n.Decision == dispatch.DecisionAccepted,
-		n.Decision == dispatch.DecisionEnded && n.Detail == "done ":
-		return level.Debug(e.logger)
-	case n.Outcome == dispatch.OutcomeCompleted && n.Detail == string(n.Outcome):
-		// Completed within its objective: others tell why not.
-		return e.successes
-	default:
-		return e.others
-	}
-}
-
-// log logs a decision.
-func (e *Entry) log(n dispatch.DecisionMade) {
-	e.count(n)
-	logger := e.loggerFor(n)
-	fields := []any{"msg", string(n.Decision)}
-	if n.Job != "" {
-		fields = append(fields, "job", n.Job, "kind", n.Kind, "age", n.Age.Round(time.Millisecond/10))
-	}
-	if n.Task != "" {
-		fields = append(fields, "task", n.Task, "run", n.Run)
-	}
-	if n.Agent != "" {
-		fields = append(fields, "agent", string(n.Agent))
-	}
-	_ = logger.Log(append(fields, "detail", n.Detail)...)
-}
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -146,31 +146,21 @@
 	return e.ownerAddresses, true
 }
 
-// PendingLocal counts the jobs of a kind that are owned here and have not begun.
+// PendingLocal counts the jobs of a kind that are owned here and have not begun. The count is not complete while the
+// jobs of a shard that is claimed here are not read yet, or if the context or the process ended first.
 func (e *Entry) PendingLocal(ctx context.Context, kind string) (jobs int, isComplete bool) {
-	counted := make(chan struct{})
-	e.postDurable(durable.PendingRequested{Kind: kind, Done: func(count int, complete bool) {
-		jobs, isComplete = count, complete
-		close(counted)
-	}})
-	select {
-	case <-counted:
-		return jobs, isComplete
-	case <-ctx.Done():
-	case <-e.context.Done():
-	}
-	return 0, false
+	waiter, answered := e.pendingWaiters.add()
+	e.postDurable(durable.PendingRequested{Kind: kind, Waiter: waiter})
+	reply, ok := await(ctx, e, e.pendingWaiters, waiter, answered)
+	return reply.Jobs, ok && reply.IsComplete
 }
 
-// SurrenderLocal gives a shard up that another entry has claimed.
+// SurrenderLocal releases a shard that another entry has claimed, and returns once nothing more is started for it.
 func (e *Entry) SurrenderLocal(ctx context.Context, shard durable.Shard, token durable.Token) {
-	done := make(chan struct{})
-	e.postDurable(durable.SurrenderRequested{Shard: shard, Token: token, Done: func() { close(done) }})
-	select {
-	case <-done:
-	case <-ctx.Done():
-	case <-e.context.Done():
-	}
+	waiter, answered := e.surrenderWaiters.add()
+	e.postDurable(durable.SurrenderRequested{Shard: shard, Token: token, Waiter: waiter})
+	// Without an answer the other entry has left, or this process ends: both make the result needless.
+	_, _ = await(ctx, e, e.surrenderWaiters, waiter, answered)
 }
 
 func describeDurable(answer durable.Answer) string {
--- a/internal/entry/submit.go
+++ b/internal/entry/submit.go
@@ -17,25 +17,21 @@
 // overloadRetryAfter is when a caller should come back that met a full ring.
 const overloadRetryAfter = time.Second
 
-// Submit returns the final answer to a job; the end of the context says that the caller has left.
+// Submit returns the final answer to a job. If the context ends first, the caller has left and the job is dropped.
 func (e *Entry) Submit(ctx context.Context, job dispatch.Job) dispatch.Answer {
 	e.metrics.Add(metric.JobsReceived, 1)
-	waiter := dispatch.Waiter(e.nextWaiter.Add(1))
-	answered := make(chan dispatch.Answer, 1)
-	e.mu.Lock()
-	e.waiters[waiter] = answered
-	e.mu.Unlock()
+	waiter, answered := e.jobWaiters.add()
 	select {
 	case e.events <- dispatch.Submitted{Job: job, Waiter: waiter}:
 	default:
-		e.forget(waiter)
+		e.jobWaiters.remove(waiter)
 		return dispatch.NotRun{Reason: "the entry is overloaded", RetryAfter: overloadRetryAfter}
 	}
 	select {
 	case answer := <-answered:
 		return answer
 	case <-ctx.Done():
-		e.forget(waiter)
+		e.jobWaiters.remove(waiter)
 		e.post(dispatch.CallerLeft{Job: job.ID, Waiter: waiter})
 		return dispatch.Interrupted{Reason: "the caller has left"}
 	case <-e.context.Done():
@@ -43,49 +39,34 @@
 	}
 }
 
-func (e *Entry) forget(waiter dispatch.Waiter) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.waiters, waiter)
-}
-
-// reply hands an answer to those who wait for it.
-func (e *Entry) reply(ev dispatch.Reply) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, waiter := range ev.Waiters {
-		if answered, ok := e.waiters[waiter]; ok {
-			answered <- ev.Answer
-			delete(e.waiters, waiter)
-		}
-	}
-}
-
-// ask posts an event that answers on a channel, and waits for it.
-func ask[T any](ctx context.Context, e *Entry, event func(done func(T)) dispatch.Event) (answer T) {
-	answered := make(chan T, 1)
-	e.post(event(func(value T) { answered <- value }))
+// await returns the answer to a request that was posted to the event loop. It returns false if the context or the
+// process ends first.
+func await[ID ~uint64, Answer any](ctx context.Context, e *Entry, w *waiters[ID, Answer], waiter ID, answered <-chan Answer) (answer Answer, ok bool) {
+	defer w.remove(waiter)
 	select {
 	case answer = <-answered:
+		return answer, true
 	case <-ctx.Done():
 	case <-e.context.Done():
 	}
-	return answer
+	return answer, false
 }
 
 // State reports whether a job is under way and whether a task of it may have begun.
 func (e *Entry) State(ctx context.Context, id string) (known, begun bool) {
-	state := ask(ctx, e, func(done func(dispatch.JobState)) dispatch.Event {
-		return dispatch.StateRequested{Job: id, Done: done}
-	})
+	waiter, answered := e.stateWaiters.add()
+	e.post(dispatch.StateRequested{Job: id, Waiter: waiter})
+	// Without an answer the caller has left, or the process ends: nobody reads the result.
+	state, _ := await(ctx, e, e.stateWaiters, waiter, answered)
 	return state != dispatch.JobUnknown, state == dispatch.JobBegun
 }
 
 // Cancel ends a job and reports whether it was under way.
 func (e *Entry) Cancel(ctx context.Context, id string) bool {
-	return ask(ctx, e, func(done func(bool)) dispatch.Event {
-		return dispatch.CancelRequested{Job: id, Done: done}
-	})
+	waiter, answered := e.cancelWaiters.add()
+	e.post(dispatch.CancelRequested{Job: id, Waiter: waiter})
+	known, ok := await(ctx, e, e.cancelWaiters, waiter, answered)
+	return ok && known
 }
 
 // Rejected logs a request that was answered without being taken.
@@ -123,5 +104,5 @@
 func (e *Entry) IsIdle() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.jobs == 0 && len(e.waiters) == 0 && e.shards == 0 && len(e.durableWaiters) == 0
+	return e.jobs == 0 && e.jobWaiters.count() == 0 && e.shards == 0 && e.durableWaiters.count() == 0
 }
