--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -4,7 +4,6 @@
 package cli
 
 import (
-	"context"
 	"expvar"
 	"net"
 	"net/http"
@@ -123,17 +122,6 @@
 	return seeds
 }
 
-const (
-	// balancerDelay is how long after the start of a planned stop the balancer may send new connections: it asks
-	// every second, and misses twice.
-	balancerDelay = 2300 * time.Millisecond
-	// quietTime is how long no connection has come once the balancer sends none.
-	quietTime = 250 * time.Millisecond
-	// answerTime is how long the last open requests may take to be answered.
-	answerTime = 250 * time.Millisecond
-	pollPause  = 20 * time.Millisecond
-)
-
 func startPlatformEntry(s settings.Settings, logger log.Logger, metrics *metric.Set) (onPlatform, error) {
 	listeners, err := listen(s.CallerAddress, s.ReadyAddress, s.PeerAddress)
 	if err != nil {
@@ -141,14 +129,14 @@
 	}
 	store, closeStore := platform.NewStore(string(s.PlatformAddress))
 	configurations := &platform.Configurations{}
-	entry, closeEntry := entry.New(entry.Settings{
+	e, closeEntry := entry.New(entry.Settings{
 		Name: s.Name, Zone: s.Zone, Peers: listeners[2], Seeds: seedsOf(s), StopTimeout: s.StopTimeout, Ring: s.Ring, Jobs: s.Jobs,
 		Durable: platform.NewDurableJobs(store), StoreWrites: s.StoreWrites,
 	}, configurations, platform.NewStoreWatcher(store), logger, metrics)
-	closeReady := platform.NewReadiness(listeners[1], entry)
-	ingress := platform.NewIngress(listeners[0], configurations.Current, entry)
-	return onPlatform{setSeeds: entry.SetSeeds, stop: func() error {
-		err := stopEntry(entry, ingress)
+	closeReady := platform.NewReadiness(listeners[1], e)
+	ingress := platform.NewIngress(listeners[0], configurations.Current, e)
+	return onPlatform{setSeeds: e.SetSeeds, stop: func() error {
+		err := e.Shutdown(ingress)
 		closeWithin(closeTime, closeReady, closeEntry, closeStore)
 		return err
 	}}, nil
@@ -173,25 +161,6 @@
 	}
 }
 
-// stopEntry stops an entry as planned: every request that arrives is answered. Once the balancer sends no more
-// connections and no job is under way there is no reason to wait. Where no entry is ready the balancer goes on
-// sending, and this one goes on serving to the end.
-func stopEntry(entry *entry.Entry, ingress *platform.Ingress) error {
-	until := entry.BeginShutdown()
-	time.Sleep(min(balancerDelay, time.Until(until)))
-	for ingress.SinceConnection() < quietTime && time.Now().Before(until) {
-		time.Sleep(pollPause)
-	}
-	ingress.StopListening()
-	ingress.CloseIdle()
-	for !entry.IsIdle() && time.Now().Before(until) {
-		time.Sleep(pollPause)
-	}
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(answerTime))
-	defer cancel()
-	return ingress.Shutdown(ctx)
-}
-
 func startPlatformAgent(s settings.Settings, logger log.Logger, metrics *metric.Set) (onPlatform, error) {
 	listeners, err := listen(s.HeartbeatAddress, s.PeerAddress)
 	if err != nil {
--- a/internal/entry/agents_test.go
+++ b/internal/entry/agents_test.go
@@ -7,7 +7,6 @@
 	"testing"
 
 	"sailhead/internal/cluster"
-	"sailhead/internal/dispatch"
 )
 
 func TestASessionWithTheNewProcessIsKeptWhenItsRecordComes(t *testing.T) {
@@ -29,11 +28,11 @@
 		{"another address", true, 6, moved, true},
 		{"the record is gone", true, 5, cluster.Member{}, true},
 	} {
-		e := &Entry{sessions: make(map[dispatch.AgentID]*agentSession)}
+		e := &Entry{sessions: newSessionTable()}
 		if test.hasSession {
-			s := &agentSession{}
+			s := &agentSession{id: "agent-1"}
 			s.Incarnation(test.with)
-			e.sessions["agent-1"] = s
+			e.sessions.add(s)
 		}
 		if got := e.isOutdated(earlier, test.current); got != test.want {
 			t.Errorf("%s: %t", test.name, got)
--- /dev/null
+++ b/internal/entry/decider_test.go
@@ -0,0 +1,120 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package entry
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"sailhead/internal/dispatch"
+	"sailhead/internal/durable"
+	"sailhead/internal/runner"
+	"sailhead/internal/worker"
+)
+
+const (
+	testLease = 6 * time.Second
+	testJob   = "00000000000000aa"
+	testAgent = dispatch.AgentID("agent-1")
+)
+
+// deciderTest answers the calls of a decider's coordinator as a store does that always succeeds, and records all
+// other effects.
+type deciderTest struct {
+	decider   *decider
+	now       time.Time
+	revision  durable.Token
+	answers   []durable.Event
+	performed []effect
+}
+
+func newDeciderTest() *deciderTest {
+	d := &deciderTest{now: time.Unix(1_000_000, 0), revision: 10}
+	d.decider = &decider{
+		dispatcher:  dispatch.New(dispatch.Limits{Jobs: 10}, rand.New(rand.NewPCG(1, 2))),
+		coordinator: durable.New(durable.Claim{Owner: "entry-1", Address: "10.0.0.1:1"}, durable.Limits{Jobs: 160, StatusTime: time.Minute, LeaseTime: testLease, Commits: 1000}),
+		now:         func() time.Time { return d.now },
+		perform:     d.perform,
+	}
+	return d
+}
+
+func (d *deciderTest) perform(e effect) {
+	d.performed = append(d.performed, e)
+	switch call := e.durable.(type) {
+	case durable.CallLease:
+		d.answers = append(d.answers, durable.LeaseAnswered{Lease: call.Lease, Sent: d.now, Result: durable.LeaseGranted{Lease: 1, Time: call.Time}})
+	case durable.CallClaim:
+		d.revision++
+		d.answers = append(d.answers, durable.ClaimAnswered{Shard: call.Claim.Shard, Lease: call.Claim.Lease, Result: durable.ClaimWon{Token: d.revision}})
+	case durable.Load:
+		d.answers = append(d.answers, durable.Loaded{Shard: call.Shard, Token: call.Token})
+	case durable.Commit:
+		d.answers = append(d.answers, durable.Committed{Number: call.Number, Result: durable.CommitDone{}})
+	}
+}
+
+// settle hands the answers of the store to the coordinator and lets time pass until nothing is left to answer.
+func (d *deciderTest) settle() {
+	for range 20 {
+		d.now = d.now.Add(20 * time.Millisecond)
+		d.decider.handleDurable(durable.Ticked{})
+		answers := d.answers
+		d.answers = nil
+		for _, answer := range answers {
+			d.decider.handleDurable(answer)
+		}
+	}
+}
+
+// indexOf returns where the first effect that matches was performed, or -1.
+func (d *deciderTest) indexOf(matches func(dispatch.Effect) bool) int {
+	for i, e := range d.performed {
+		if matches(e.dispatch) {
+			return i
+		}
+	}
+	return -1
+}
+
+func TestAStopDoesNotOvertakeTheStartOfItsRun(t *testing.T) {
+	d := newDeciderTest()
+	d.decider.handleDurable(durable.EntriesChanged{Names: []string{"entry-1"}})
+	d.decider.handleDurable(durable.StoreRead{HasJobs: true})
+	d.settle()
+	d.decider.handleDispatch(
+		dispatch.AgentUp{Agent: testAgent},
+		dispatch.WorkerDescribed{Agent: testAgent, Record: worker.Record{ID: "w", Service: "svc", Capacity: worker.Resources{CPU: 1000}}},
+		dispatch.LoadReceived{Agent: testAgent, Load: runner.Load{Accepts: true}},
+	)
+	d.decider.handleDurable(durable.Submitted{Waiter: 1, Job: dispatch.Job{
+		ID: testJob, Kind: dispatch.Kind{Name: "k", Service: "svc", Attempts: 2, Stretch: 1.6},
+		Steps: []dispatch.Step{{Count: 2, Needs: worker.Resources{CPU: 1000}, Expected: 100 * time.Millisecond}},
+	}})
+	d.settle()
+	first, second := testJob+".0.0.0", testJob+".0.0.1"
+	isStart := func(name string) func(dispatch.Effect) bool {
+		return func(e dispatch.Effect) bool { s, ok := e.(dispatch.StartTask); return ok && s.Task.Name == name }
+	}
+	isStop := func(e dispatch.Effect) bool { s, ok := e.(dispatch.StopTask); return ok && s.Name == second }
+	if d.indexOf(isStart(first)) < 0 || d.indexOf(isStart(second)) >= 0 {
+		t.Fatalf("want one started task, got effects %v", d.performed)
+	}
+	// No renewal is answered from here on. The end of the first run frees the worker for the second one, and the lease
+	// runs out between the dispatcher's handling of the batch and the coordinator's of the end.
+	d.decider.now = func() time.Time {
+		now := d.now
+		d.now = now.Add(2 * testLease)
+		return now
+	}
+	d.decider.handleDispatch(
+		dispatch.RunUpdated{Agent: testAgent, Update: runner.Update{Name: first, Run: 1, Outcome: runner.OutcomeDone}},
+		dispatch.LoadReceived{Agent: testAgent, Handled: 1, Load: runner.Load{Accepts: true}},
+	)
+	started, stopped := d.indexOf(isStart(second)), d.indexOf(isStop)
+	if started < 0 || stopped < 0 || stopped < started {
+		t.Fatalf("start of the second run is effect %d, its stop effect %d", started, stopped)
+	}
+}
--- /dev/null
+++ b/internal/entry/loop.go
@@ -0,0 +1,141 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package entry
+
+import (
+	"time"
+
+	"sailhead/internal/dispatch"
+	"sailhead/internal/durable"
+	"sailhead/internal/metric"
+	"sailhead/internal/session"
+)
+
+const (
+	// tickInterval is the time between two ticks of the state machines, which refuse, expire and renew by time. Not
+	// measured.
+	tickInterval = 10 * time.Millisecond
+	// batchSize is the largest number of events that are handled together. Handling them one by one, an entry planned
+	// over all workers for each load that came and fell behind on the grown sites (docs/FINDINGS.md); 64 itself was not
+	// varied.
+	batchSize = 64
+)
+
+// run is the event loop: the only goroutine that uses the dispatcher and the coordinator.
+func (e *Entry) run() {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	events := make([]dispatch.Event, 0, batchSize)
+	for {
+		events = events[:0]
+		var durableEvent durable.Event
+		select {
+		case <-e.context.Done():
+			return
+		case event := <-e.events:
+			events = e.gather(append(events, event))
+		case durableEvent = <-e.durableEvents:
+		case <-ticker.C:
+			events = append(events, dispatch.Ticked{})
+			durableEvent = durable.Ticked{DurableRuns: e.decider.dispatcher.DurableRuns(time.Now())}
+		}
+		e.decider.expire()
+		if len(events) > 0 {
+			e.decider.handleDispatch(events...)
+		}
+		if durableEvent != nil {
+			e.decider.handleDurable(durableEvent)
+			e.publishOwners()
+		}
+		e.publishCounts()
+	}
+}
+
+// gather adds the events that wait in the ring, up to the size of a batch.
+func (e *Entry) gather(events []dispatch.Event) []dispatch.Event {
+	for len(events) < batchSize {
+		select {
+		case event := <-e.events:
+			events = append(events, event)
+		default:
+			return events
+		}
+	}
+	return events
+}
+
+// post hands an event to the dispatcher and waits while the ring is full.
+func (e *Entry) post(event dispatch.Event) {
+	select {
+	case e.events <- event:
+	case <-e.context.Done():
+	}
+}
+
+// postDurable hands an event to the coordinator and waits while the ring is full.
+func (e *Entry) postDurable(event durable.Event) {
+	select {
+	case e.durableEvents <- event:
+	case <-e.context.Done():
+	}
+}
+
+// publishCounts lets other goroutines read the counts of the state machines.
+func (e *Entry) publishCounts() {
+	jobs, _, agents := e.decider.dispatcher.Counts()
+	isJobsChanged := e.jobs.Swap(int64(jobs)) != int64(jobs)
+	isAgentsChanged := e.agents.Swap(int64(agents)) != int64(agents)
+	if isJobsChanged || isAgentsChanged {
+		e.metrics.Set(metric.JobsOpen, int64(jobs))
+		e.metrics.Set(metric.Agents, int64(agents))
+	}
+	shards, _ := e.decider.coordinator.Counts()
+	e.ownedShards.Store(int64(shards))
+}
+
+// publishOwners lets other goroutines read who owns which shard.
+func (e *Entry) publishOwners() {
+	coordinator := e.decider.coordinator
+	if !coordinator.IsActive() {
+		return
+	}
+	var claims [durable.Shards]*durable.Claim
+	for shard := range claims {
+		if claim, ok := coordinator.OwnerOf(durable.Shard(shard)); ok {
+			claims[shard] = &claim
+		}
+	}
+	e.shards.set(claims, coordinator.Owners())
+}
+
+// perform carries out one effect of the state machines.
+func (e *Entry) perform(next effect) {
+	if next.durable != nil {
+		e.performDurable(next.durable)
+		return
+	}
+	switch effect := next.dispatch.(type) {
+	case dispatch.Reply:
+		for _, waiter := range effect.Waiters {
+			e.jobWaiters.answer(waiter, effect.Answer)
+		}
+	case dispatch.StateReply:
+		e.stateWaiters.answer(effect.Waiter, effect.State)
+	case dispatch.CancelReply:
+		e.cancelWaiters.answer(effect.Waiter, effect.Known)
+	case dispatch.StartTask:
+		e.onSession(effect.Agent, func(agent *session.AgentConn) { agent.Start(effect.Number, effect.Task) })
+	case dispatch.StopTask:
+		e.onSession(effect.Agent, func(agent *session.AgentConn) { agent.Stop(effect.Name) })
+	case dispatch.DecisionMade:
+		e.log(effect)
+	}
+}
+
+// onSession sends to an agent. Without a session nothing is sent: the dispatcher hears of its end by an event.
+func (e *Entry) onSession(id dispatch.AgentID, send func(*session.AgentConn)) {
+	if s, ok := e.sessions.get(id); ok {
+		send(s.conn)
+	}
+}
--- /dev/null
+++ b/internal/entry/members.go
@@ -0,0 +1,109 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package entry
+
+import (
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"sailhead/internal/cluster"
+	"sailhead/internal/durable"
+)
+
+const (
+	// exchangeInterval is the mean time between two exchanges of an entry. News reaches all entries in a few exchanges
+	// without the store; a configuration must be in force after 2 s. Not measured.
+	exchangeInterval = 450 * time.Millisecond
+	// headerTimeout bounds the reading of a peer's request header, idleTimeout an unused connection of a peer.
+	headerTimeout = 5 * time.Second
+	idleTimeout   = time.Minute
+)
+
+// servePeers serves other entries and agents: exchanges, announcements and requests to owners of shards. The clean-up
+// closes the listener and all connections.
+func servePeers(listener net.Listener, exchanger *cluster.Exchanger, local durable.LocalCoordinator) func() {
+	mux := http.NewServeMux()
+	mux.Handle(durable.PathPrefix, durable.NewServer(local))
+	mux.Handle("/", exchanger.Handler())
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	// Serve only returns when the listener is closed, which the clean-up does.
+	go func() { _ = server.Serve(listener) }()
+	return func() { _ = server.Close() }
+}
+
+// Knows reports whether the number of known entries, this one included, is at least the one given.
+func (e *Entry) Knows(entries int) bool {
+	return len(e.directory.Members(cluster.RoleEntry)) >= entries
+}
+
+// SetSeeds replaces the addresses of entries to exchange with while no others are known.
+func (e *Entry) SetSeeds(seeds []string) {
+	e.seeds.Store(&seeds)
+}
+
+func (e *Entry) entryNames() []string {
+	var names []string
+	for _, m := range e.directory.Members(cluster.RoleEntry) {
+		names = append(names, m.Name)
+	}
+	return names
+}
+
+// register writes this entry's record to the store, and retries until it is written. The first failure is logged, and
+// the success after one.
+func (e *Entry) register() {
+	for e.context.Err() == nil {
+		err := e.store.PutMember(e.self)
+		e.dependencies.observe("store (registration)", err)
+		if err == nil {
+			return
+		}
+		e.pause(storeRetryDelay + rand.N(storeRetryDelay))
+	}
+}
+
+// exchange exchanges the directory with one other entry after the other, so that members and configuration spread while
+// the store does not answer.
+func (e *Entry) exchange() {
+	for e.pause(exchangeInterval/2 + rand.N(exchangeInterval)) {
+		address, ok := e.anyPeer()
+		if !ok {
+			continue
+		}
+		before, _ := e.directory.Document()
+		e.dependencies.observe("entry "+address, e.exchanger.ExchangeWith(e.context, address))
+		if after, _ := e.directory.Document(); after > before {
+			_ = level.Info(e.logger).Log("msg", "configuration", "version", after, "from", address)
+		}
+	}
+}
+
+// anyPeer returns the address of a random other entry or seed; ok is false if none is known.
+func (e *Entry) anyPeer() (address string, ok bool) {
+	var addresses []string
+	for _, m := range e.directory.Members(cluster.RoleEntry) {
+		addresses = append(addresses, m.Address)
+	}
+	addresses = append(addresses, *e.seeds.Load()...)
+	addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == e.self.Address })
+	if len(addresses) == 0 {
+		return "", false
+	}
+	return addresses[rand.IntN(len(addresses))], true
+}
+
+// pause waits. It returns false if the process ends meanwhile.
+func (e *Entry) pause(d time.Duration) bool {
+	select {
+	case <-e.context.Done():
+		return false
+	case <-time.After(d):
+		return true
+	}
+}
--- /dev/null
+++ b/internal/entry/sessions.go
@@ -0,0 +1,155 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package entry
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"sailhead/internal/cluster"
+	"sailhead/internal/dispatch"
+	"sailhead/internal/durable"
+	"sailhead/internal/runner"
+	"sailhead/internal/session"
+	"sailhead/internal/timing"
+	"sailhead/internal/worker"
+)
+
+// livenessInterval is the time between two checks of the sessions for agents that do not answer. Design: a sixth of
+// timing.SuspectAfter.
+const livenessInterval = 50 * time.Millisecond
+
+// epoch is the origin of the times in agentSession.
+var epoch = time.Now()
+
+// agentSession is the session with one agent; it hands the agent's messages to the event loop. The session's reading
+// goroutine calls the methods of session.AgentHandler.
+type agentSession struct {
+	entry *Entry
+	id    dispatch.AgentID
+	conn  *session.AgentConn
+	// lastMessage is when the last message came, in nanoseconds since epoch on the steady clock.
+	lastMessage atomic.Int64
+	// incarnation is that of the agent's process; 0 until its first ping.
+	incarnation atomic.Int64
+	// unresponsive is set once the dispatcher was told so; only the liveness duty uses it.
+	unresponsive bool
+}
+
+// MessageReceived records that the agent is alive.
+func (s *agentSession) MessageReceived() {
+	s.lastMessage.Store(int64(time.Since(epoch)))
+}
+
+// Incarnation records which process of the agent the session is with.
+func (s *agentSession) Incarnation(incarnation int64) {
+	s.incarnation.Store(incarnation)
+}
+
+// Worker hands on the description of the agent's worker.
+func (s *agentSession) Worker(record worker.Record) {
+	s.entry.post(dispatch.WorkerDescribed{Agent: s.id, Record: record})
+}
+
+// Load hands on the load of the agent's worker, in which the session's starts up to handled are counted.
+func (s *agentSession) Load(handled uint64, load runner.Load) {
+	s.entry.post(dispatch.LoadReceived{Agent: s.id, Handled: handled, Load: load})
+}
+
+// Update hands on the state of a run. An end that the agent resends until an owner has recorded it goes to the
+// coordinator: the dispatcher here may not know the job.
+func (s *agentSession) Update(update runner.Update) {
+	if update.Unacknowledged {
+		s.entry.postDurable(durable.TaskEnded{Agent: s.id, Update: update})
+		return
+	}
+	s.entry.post(dispatch.RunUpdated{Agent: s.id, Update: update})
+}
+
+// sessionTable holds the open sessions by agent. It is safe for concurrent use.
+type sessionTable struct {
+	mu   sync.Mutex
+	open map[dispatch.AgentID]*agentSession
+}
+
+func newSessionTable() *sessionTable {
+	return &sessionTable{open: make(map[dispatch.AgentID]*agentSession)}
+}
+
+func (t *sessionTable) add(s *agentSession) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.open[s.id] = s
+}
+
+func (t *sessionTable) remove(id dispatch.AgentID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.open, id)
+}
+
+func (t *sessionTable) get(id dispatch.AgentID) (s *agentSession, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, ok = t.open[id]
+	return s, ok
+}
+
+func (t *sessionTable) all() []*agentSession {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	sessions := make([]*agentSession, 0, len(t.open))
+	for _, s := range t.open {
+		sessions = append(sessions, s)
+	}
+	return sessions
+}
+
+// serveSession hands an agent's messages to the event loop until the session ends, and returns why it ended.
+func (e *Entry) serveSession(ctx context.Context, agent cluster.Member, conn *session.AgentConn) error {
+	s := &agentSession{entry: e, id: dispatch.AgentID(agent.Name), conn: conn}
+	s.MessageReceived()
+	stop := context.AfterFunc(ctx, conn.Close)
+	defer stop()
+	e.sessions.add(s)
+	e.post(dispatch.AgentUp{Agent: s.id})
+	err := conn.Serve(s)
+	e.sessions.remove(s.id)
+	e.post(dispatch.AgentDown{Agent: s.id})
+	return err
+}
+
+// watchLiveness suspects agents that stop answering and closes the sessions of those that stay silent.
+func (e *Entry) watchLiveness() {
+	ticker := time.NewTicker(livenessInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-e.context.Done():
+			return
+		case <-ticker.C:
+			for _, s := range e.sessions.all() {
+				e.checkLiveness(s)
+			}
+		}
+	}
+}
+
+// checkLiveness compares the time since an agent's last message with timing.SuspectAfter and timing.CloseAfter.
+func (e *Entry) checkLiveness(s *agentSession) {
+	silence := time.Since(epoch) - time.Duration(s.lastMessage.Load())
+	isSuspect := silence > timing.SuspectAfter
+	switch {
+	case silence > timing.CloseAfter:
+		s.conn.Close()
+	case isSuspect && !s.unresponsive:
+		s.unresponsive = true
+		e.post(dispatch.AgentUnresponsive{Agent: s.id})
+	case !isSuspect && s.unresponsive:
+		s.unresponsive = false
+		e.post(dispatch.AgentResponsive{Agent: s.id})
+	}
+}
--- /dev/null
+++ b/internal/entry/shards.go
@@ -0,0 +1,256 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package entry
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"sailhead/internal/dispatch"
+	"sailhead/internal/durable"
+	"sailhead/internal/metric"
+	"sailhead/internal/timing"
+)
+
+// shardView is what the event loop last published about the shards, for other goroutines. It is safe for concurrent use.
+type shardView struct {
+	mu sync.Mutex
+	// claims are the owners by shard; nil for a shard without one.
+	claims [durable.Shards]*durable.Claim
+	// addresses are those of the other entries that own shards.
+	addresses []string
+	// everUsed is set once a durable job was known: without one nothing has to be asked.
+	everUsed bool
+	// updated is when the store was last read or answered a watch; zero before that.
+	updated time.Time
+}
+
+func (v *shardView) set(claims [durable.Shards]*durable.Claim, addresses []string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.claims, v.addresses = claims, addresses
+}
+
+// storeUpdated records that the store answered now. It reports whether durable jobs are known for the first time.
+func (v *shardView) storeUpdated(now time.Time, hasDurableJobs bool) (isFirst bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.updated = now
+	isFirst = hasDurableJobs && !v.everUsed
+	v.everUsed = v.everUsed || hasDurableJobs
+	return isFirst
+}
+
+// ownerOf returns the claim of a job's shard; ok is false if no owner is known.
+func (v *shardView) ownerOf(job string) (claim durable.Claim, ok bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if claim := v.claims[durable.ShardOf(job)]; claim != nil {
+		return *claim, true
+	}
+	return durable.Claim{}, false
+}
+
+// otherOwners returns the addresses of the other entries that own shards; ok is false if a shard has no owner.
+func (v *shardView) otherOwners() (addresses []string, ok bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, claim := range v.claims {
+		if claim == nil {
+			return nil, false
+		}
+	}
+	return v.addresses, true
+}
+
+// mayHaveJobs reports whether there may be durable jobs. It is true if the store was not heard of for
+// timing.StoreUpdateLifetime: others may have taken the first one meanwhile.
+func (v *shardView) mayHaveJobs(now time.Time) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if now.Sub(v.updated) > timing.StoreUpdateLifetime {
+		return true
+	}
+	for _, claim := range v.claims {
+		if claim != nil {
+			return true
+		}
+	}
+	return v.everUsed
+}
+
+const (
+	// ownerWait is how long a request waits for its shard to have an owner before the caller is sent away with a time to
+	// retry. Not measured.
+	ownerWait = 700 * time.Millisecond
+	// ownerPollInterval is the time between two looks at who owns the shard.
+	ownerPollInterval = 40 * time.Millisecond
+	// durableTimeout bounds the wait for an answer of the coordinator, which may have to wait for a write to the store.
+	// It is that of durable.Client, so that a forwarded request fails neither earlier nor later than a local one.
+	durableTimeout = 1500 * time.Millisecond
+)
+
+// ownerRequest is one request to the owner of a job's shard, in the two forms in which it is made.
+type ownerRequest struct {
+	job string
+	// local returns the event for the coordinator here, remote calls the owner at an address.
+	local  func(durable.Waiter) durable.Event
+	remote func(ctx context.Context, address string) durable.Answer
+}
+
+// askOwner asks the owner of a job's shard, here or at another entry. While nobody answers as the owner it tries again,
+// up to ownerWait.
+func (e *Entry) askOwner(ctx context.Context, request ownerRequest) durable.Answer {
+	deadline := time.Now().Add(ownerWait)
+	for {
+		answer := e.askOwnerOnce(ctx, request)
+		if _, isNotOwner := answer.(durable.NotOwner); !isNotOwner {
+			return answer
+		}
+		if time.Now().After(deadline) || !e.pause(ownerPollInterval) {
+			return answer
+		}
+	}
+}
+
+func (e *Entry) askOwnerOnce(ctx context.Context, request ownerRequest) durable.Answer {
+	claim, ok := e.shards.ownerOf(request.job)
+	switch {
+	case !ok:
+		return durable.NotOwner{}
+	case claim.Owner == e.self.Name:
+		return e.AskLocal(ctx, request.local)
+	default:
+		return request.remote(ctx, claim.Address)
+	}
+}
+
+// AskLocal posts an event with a waiter to the coordinator and returns its answer: InDoubt if none comes in time, or if
+// the context or the process ends first.
+func (e *Entry) AskLocal(ctx context.Context, event func(durable.Waiter) durable.Event) durable.Answer {
+	waiter, answered := e.durableWaiters.add()
+	defer e.durableWaiters.remove(waiter)
+	e.postDurable(event(waiter))
+	select {
+	case answer := <-answered:
+		return answer
+	case <-time.After(durableTimeout):
+		return durable.InDoubt{Reason: "the store does not answer"}
+	case <-ctx.Done():
+		return durable.InDoubt{Reason: "the caller has left"}
+	case <-e.context.Done():
+		return durable.InDoubt{Reason: "the entry has stopped"}
+	}
+}
+
+// SubmitDurable hands a durable job to the owner of its shard and returns the owner's answer. The first one makes the
+// entries claim shards.
+func (e *Entry) SubmitDurable(ctx context.Context, job dispatch.Job) durable.Answer {
+	e.metrics.Add(metric.JobsReceived, 1)
+	e.postDurable(durable.ActivationRequested{})
+	answer := e.askOwner(ctx, ownerRequest{
+		job:    job.ID,
+		local:  func(w durable.Waiter) durable.Event { return durable.Submitted{Job: job, Waiter: w} },
+		remote: func(ctx context.Context, address string) durable.Answer { return e.peers.Submit(ctx, address, job) },
+	})
+	known, ok := answer.(durable.Known)
+	if !ok {
+		_ = e.others.Log("msg", "kept job not taken", "job", job.ID, "kind", job.Kind.Name, "answer", describeDurable(answer))
+		return answer
+	}
+	e.metrics.Add(metric.JobsKept, 1)
+	_ = e.successes.Log("msg", "kept job taken", "job", job.ID, "kind", job.Kind.Name, "state", known.State)
+	return answer
+}
+
+// StateDurable returns the state of a durable job.
+func (e *Entry) StateDurable(ctx context.Context, id string) durable.Answer {
+	return e.askOwner(ctx, ownerRequest{
+		job:    id,
+		local:  func(w durable.Waiter) durable.Event { return durable.StateRequested{Job: id, Waiter: w} },
+		remote: func(ctx context.Context, address string) durable.Answer { return e.peers.State(ctx, address, id) },
+	})
+}
+
+// CancelDurable cancels a durable job.
+func (e *Entry) CancelDurable(ctx context.Context, id string) durable.Answer {
+	return e.askOwner(ctx, ownerRequest{
+		job:    id,
+		local:  func(w durable.Waiter) durable.Event { return durable.CancelRequested{Job: id, Waiter: w} },
+		remote: func(ctx context.Context, address string) durable.Answer { return e.peers.Cancel(ctx, address, id) },
+	})
+}
+
+// HasDurableJobs reports whether there may be durable jobs, so that a job that is unknown here has to be asked for.
+func (e *Entry) HasDurableJobs() bool {
+	return e.shards.mayHaveJobs(time.Now())
+}
+
+// pendingCount is one owner's number of jobs that have not begun; ok is false if it is not known.
+type pendingCount struct {
+	jobs int
+	ok   bool
+}
+
+// Pending counts the accepted jobs of a kind of which no task has begun, at all owners; ok is false if an owner is not
+// known or does not answer. Only durable jobs count: any other job is accepted by its final answer.
+func (e *Entry) Pending(ctx context.Context, kind string) (jobs int, ok bool) {
+	if !e.HasDurableJobs() {
+		return 0, true
+	}
+	addresses, ok := e.shards.otherOwners()
+	if !ok {
+		return 0, false
+	}
+	counts := make(chan pendingCount, len(addresses))
+	for _, address := range addresses {
+		go func() {
+			jobs, ok := e.peers.Pending(ctx, address, kind)
+			counts <- pendingCount{jobs: jobs, ok: ok}
+		}()
+	}
+	total, ok := e.PendingLocal(ctx, kind)
+	for range addresses {
+		count := <-counts
+		total += count.jobs
+		ok = ok && count.ok
+	}
+	return total, ok
+}
+
+// PendingLocal counts the jobs of a kind that are owned here and have not begun. The count is not complete while the
+// jobs of a shard that is claimed here are not read yet, or if the context or the process ended first.
+func (e *Entry) PendingLocal(ctx context.Context, kind string) (jobs int, isComplete bool) {
+	waiter, answered := e.pendingWaiters.add()
+	e.postDurable(durable.PendingRequested{Kind: kind, Waiter: waiter})
+	reply, ok := await(ctx, e, e.pendingWaiters, waiter, answered)
+	return reply.Jobs, ok && reply.IsComplete
+}
+
+// SurrenderLocal releases a shard that another entry has claimed, and returns once nothing more is started for it.
+func (e *Entry) SurrenderLocal(ctx context.Context, shard durable.Shard, token durable.Token) {
+	waiter, answered := e.surrenderWaiters.add()
+	e.postDurable(durable.SurrenderRequested{Shard: shard, Token: token, Waiter: waiter})
+	// Without an answer the other entry has left, or this process ends: both make the result needless.
+	_, _ = await(ctx, e, e.surrenderWaiters, waiter, answered)
+}
+
+// describeDurable returns an answer as it is logged.
+func describeDurable(answer durable.Answer) string {
+	switch a := answer.(type) {
+	case durable.Known:
+		return "known"
+	case durable.Unknown:
+		return "unknown"
+	case durable.NotOwner:
+		return "no owner"
+	case durable.Refused:
+		return "refused: " + a.Reason
+	case durable.InDoubt:
+		return "in doubt: " + a.Reason
+	default:
+		return ""
+	}
+}
--- a/internal/entry/submit.go
+++ b/internal/entry/submit.go
@@ -7,14 +7,11 @@
 	"context"
 	"time"
 
-	"github.com/go-kit/log/level"
-
 	"sailhead/internal/dispatch"
-	"sailhead/internal/durable"
 	"sailhead/internal/metric"
 )
 
-// overloadRetryAfter is when a caller should come back that met a full ring.
+// overloadRetryAfter is when a caller may retry whose job met a full ring. Not measured.
 const overloadRetryAfter = time.Second
 
 // Submit returns the final answer to a job. If the context ends first, the caller has left and the job is dropped.
@@ -69,40 +66,9 @@
 	return ok && known
 }
 
-// Rejected logs a request that was answered without being taken.
+// Rejected logs and counts a request that the platform's adapter answered with an error without submitting it.
 func (e *Entry) Rejected(path string, status int, reason string) {
 	e.metrics.Add(metric.RequestsRejected, 1)
 	version, _ := e.directory.Document()
 	_ = e.others.Log("msg", "rejected", "path", path, "status", status, "configuration", version, "reason", reason)
 }
-
-// IsReady reports whether the entry takes jobs: it has a configuration, an agent, and does not stop.
-func (e *Entry) IsReady() bool {
-	version, _ := e.directory.Document()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return !e.shuttingDown.Load() && version > 0 && e.agents > 0
-}
-
-// IsShuttingDown reports whether the entry stops.
-func (e *Entry) IsShuttingDown() bool {
-	return e.shuttingDown.Load()
-}
-
-// BeginShutdown begins a planned stop: the balancer hears that the entry is not ready, and jobs that would not end in
-// time are refused. It returns when the process must have ended.
-func (e *Entry) BeginShutdown() time.Time {
-	e.shuttingDown.Store(true)
-	until := time.Now().Add(e.settings.StopTimeout - stopMargin)
-	e.post(dispatch.ShutdownRequested{Until: until})
-	e.postDurable(durable.ShutdownRequested{Until: until.Add(-releaseMargin)})
-	_ = level.Info(e.logger).Log("msg", "stopping", "within", e.settings.StopTimeout)
-	return until
-}
-
-// IsIdle reports whether no job is under way.
-func (e *Entry) IsIdle() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.jobs == 0 && e.jobWaiters.count() == 0 && e.shards == 0 && e.durableWaiters.count() == 0
-}
