--- /dev/null
+++ b/internal/entry/log_test.go
@@ -0,0 +1,188 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package entry
+
+import (
+	"bytes"
+	_ "embed"
+	"flag"
+	"math/rand/v2"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"sailhead/internal/dispatch"
+	"sailhead/internal/metric"
+	"sailhead/internal/runner"
+	"sailhead/internal/worker"
+)
+
+// decisionLines are the expected log lines of TestLogLinesOfDecisions.
+//
+//go:embed testdata/decisions.log
+var decisionLines string
+
+var update = flag.Bool("update", false, "write the log lines of this run to testdata/decisions.log")
+
+// decisionLog logs the decisions of a dispatcher on virtual time as an entry does.
+type decisionLog struct {
+	entry      *Entry
+	dispatcher *dispatch.Dispatcher
+	now        time.Time
+	out        bytes.Buffer
+}
+
+// newDecisionLog returns a log whose lines name the logger that wrote them in the field "logger".
+func newDecisionLog() *decisionLog {
+	l := &decisionLog{
+		dispatcher: dispatch.New(dispatch.Limits{Jobs: 3}, rand.New(rand.NewPCG(1, 2))),
+		now:        time.Unix(1_000_000, 0),
+	}
+	root := log.NewLogfmtLogger(&l.out)
+	metrics := metric.NewSet()
+	l.entry = &Entry{
+		logger: log.With(root, "logger", "all"), metrics: metrics,
+		successes:   log.With(level.Info(root), "logger", "successes"),
+		others:      log.With(level.Info(root), "logger", "others"),
+		answerTimes: metrics.Times("answer_time"), queueTimes: metrics.Times("queue_time"),
+	}
+	return l
+}
+
+// handle passes events to the dispatcher and logs its decisions. Other effects are ignored.
+func (l *decisionLog) handle(events ...dispatch.Event) {
+	for _, effect := range l.dispatcher.Handle(l.now, events...) {
+		if decision, ok := effect.(dispatch.DecisionMade); ok {
+			l.entry.log(decision)
+		}
+	}
+}
+
+func (l *decisionLog) wait(d time.Duration) {
+	l.now = l.now.Add(d)
+	l.handle(dispatch.Ticked{})
+}
+
+func (l *decisionLog) addAgent(id dispatch.AgentID) {
+	l.handle(dispatch.AgentUp{Agent: id}, dispatch.WorkerDescribed{Agent: id, Record: worker.Record{
+		ID: "vm-" + string(id), Service: "svc", Capacity: worker.Resources{CPU: 2000},
+	}})
+	l.load(id, 0, 1)
+}
+
+func (l *decisionLog) load(id dispatch.AgentID, handled uint64, slowness float64) {
+	l.handle(dispatch.LoadReceived{Agent: id, Handled: handled, Load: runner.Load{Accepts: true, Slowness: slowness}})
+}
+
+func (l *decisionLog) submit(id string, tasks int) {
+	l.handle(dispatch.Submitted{Waiter: 1, Job: logJob(id, tasks)})
+}
+
+func (l *decisionLog) run(agent dispatch.AgentID, task string, run uint32, outcome runner.Outcome, reason string) {
+	l.handle(dispatch.RunUpdated{Agent: agent, Update: runner.Update{Name: task, Run: run, Outcome: outcome, Reason: reason}})
+}
+
+func logJob(id string, tasks int) dispatch.Job {
+	return dispatch.Job{
+		ID: id, RemainingTime: 1234567 * time.Microsecond,
+		Kind: dispatch.Kind{
+			Name: "kind-a", Service: "svc", Attempts: 1, Stretch: 1.6, Target: 60500 * time.Microsecond,
+			Timeout: 1500 * time.Millisecond,
+		},
+		Steps: []dispatch.Step{{Count: tasks, Needs: worker.Resources{CPU: 1000}, Expected: 100 * time.Millisecond}},
+	}
+}
+
+// TestLogLinesOfDecisions compares the log lines of every decision, with their loggers and levels, with
+// testdata/decisions.log.
+func TestLogLinesOfDecisions(t *testing.T) {
+	l := newDecisionLog()
+	l.addAgent("a")
+
+	// Answers within the objective, after it, and with a reason for the end of the run.
+	l.submit("intime", 1)
+	l.submit("intime", 1)
+	l.wait(12345 * time.Microsecond)
+	l.run("a", "intime.0.0.0", 1, runner.OutcomeStarted, "")
+	l.run("a", "intime.0.0.0", 1, runner.OutcomeDone, "")
+	l.load("a", 1, 1)
+	l.submit("overtime", 2)
+	l.wait(300 * time.Millisecond)
+	l.run("a", "overtime.0.0.0", 1, runner.OutcomeDone, "with a reason")
+	l.wait(50 * time.Millisecond)
+	l.run("a", "overtime.0.0.1", 1, runner.OutcomeDone, "")
+	l.load("a", 3, 1)
+
+	// Failed, cancelled, and left by the caller.
+	l.submit("failed", 1)
+	l.run("a", "failed.0.0.0", 1, runner.OutcomeFailed, "exit status 1")
+	l.load("a", 4, 1)
+	l.submit("cancelled", 1)
+	l.handle(dispatch.CancelRequested{Job: "cancelled", Waiter: 2})
+	l.submit("left", 1)
+	l.handle(dispatch.CallerLeft{Job: "left", Waiter: 1})
+	l.load("a", 6, 1)
+
+	// Refused on arrival and after a wait; a job whose time is over with a task that was never placed.
+	l.submit("full", 3)
+	l.submit("waits", 1)
+	l.submit("waits2", 1)
+	l.submit("toomany", 1)
+	l.wait(200 * time.Millisecond)
+	l.wait(600 * time.Millisecond)
+	l.load("a", 8, 1)
+
+	// A run that is stopped on a slow worker and started elsewhere.
+	l.run("a", "full.0.0.0", 1, runner.OutcomeStopped, "")
+	l.run("a", "full.0.0.1", 1, runner.OutcomeStopped, "")
+	l.submit("slow", 1)
+	l.wait(260 * time.Millisecond)
+	l.addAgent("b")
+	l.load("a", 9, 6)
+	l.wait(10 * time.Millisecond)
+	l.run("a", "slow.0.0.0", 1, runner.OutcomeStopped, "stopped by its entry")
+	l.run("b", "slow.0.0.0", 2, runner.OutcomeNotStarted, "insufficient resources")
+	l.run("b", "slow.0.0.0", 3, runner.OutcomeDone, "")
+	l.run("a", "slow.0.0.0", 3, runner.OutcomeDone, "")
+
+	// Agents that do not answer, return, refuse tasks and are lost.
+	l.handle(dispatch.AgentUnresponsive{Agent: "a"}, dispatch.AgentUnresponsive{Agent: "a"}, dispatch.AgentResponsive{Agent: "a"})
+	l.handle(dispatch.LoadReceived{Agent: "a", Handled: 20, Load: runner.Load{Slowness: 1}})
+	l.load("a", 20, 1)
+	l.handle(dispatch.AgentDown{Agent: "b"})
+
+	// Durable jobs: one is done, one is dropped.
+	l.handle(dispatch.DurableAccepted{Job: logJob("durable", 1)})
+	l.run("a", "durable.0.0.0", 1, runner.OutcomeLost, "another life of the worker began")
+	l.run("a", "durable.0.0.0", 2, runner.OutcomeDone, "")
+	l.handle(dispatch.DurableAccepted{Job: logJob("moved", 1)}, dispatch.DurableDropped{Jobs: []string{"moved"}})
+
+	// Shutdown.
+	l.handle(dispatch.ShutdownRequested{Until: l.now.Add(230 * time.Millisecond)})
+	l.submit("last", 1)
+	l.wait(231 * time.Millisecond)
+	l.submit("toolate", 1)
+
+	if *update {
+		if err := os.WriteFile("testdata/decisions.log", l.out.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if got := l.out.String(); got != decisionLines {
+		t.Errorf("log lines differ from testdata/decisions.log; got:\n%s", got)
+	}
+	for name, want := range map[string]int64{
+		metric.TasksStarted: 13, metric.TasksEnded: 9,
+		metric.JobsPrefix + "completed": 3, metric.JobsPrefix + "failed": 1,
+		metric.JobsPrefix + "not_run": 5, metric.JobsPrefix + "interrupted": 2,
+	} {
+		if got := l.entry.metrics.Value(name); got != want {
+			t.Errorf("metric %s is %d, want %d", name, got, want)
+		}
+	}
+}
