--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -6,7 +6,6 @@
 import (
 	"fmt"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -24,7 +23,7 @@
 	if len(j.waiters) > 0 {
 		return
 	}
-	d.logDecision(now, j, DecisionCallerLeft, "")
+	d.emit(j.decisionMade(now, DecisionCallerLeft{}))
 	d.drop(now, j)
 }
 
@@ -55,42 +54,41 @@
 // finish answers a job at once and stops what it still runs.
 func (d *Dispatcher) finish(now time.Time, j *job, answer Answer) {
 	d.emit(Reply{Waiters: j.waiters, Answer: answer})
-	d.emit(DecisionMade{
-		Decision: DecisionAnswered, Job: j.ID, Kind: j.Kind.Name, Age: now.Sub(j.arrived), Outcome: outcomeOf(answer),
-		Detail: describe(answer) + j.describeSlowest(now, answer),
-	})
+	d.emit(j.decisionMade(now, DecisionAnswered{Answer: answer, Late: j.lateAnswer(now, answer)}))
 	d.drop(now, j)
 }
 
-// slowestTasks is how many tasks a note of an answer names.
+// slowestTasks is how many tasks a late answer names. Not measured; three fit one log line.
 const slowestTasks = 3
 
-// describeSlowest names the tasks that a job waited for to the end, with their runs, if the job was not done within
-// its objective. Times count from the job's arrival.
-func (j *job) describeSlowest(now time.Time, answer Answer) string {
-	if _, isRefusal := answer.(NotRun); isRefusal || now.Sub(j.arrived) <= j.objective {
-		return ""
+// lateAnswer returns the tasks that ended last if the job missed its objective, and nil if it did not or did not run.
+func (j *job) lateAnswer(now time.Time, answer Answer) *LateAnswer {
+	if _, isNotRun := answer.(NotRun); isNotRun || now.Sub(j.arrived) <= j.objective {
+		return nil
 	}
 	tasks := slices.Clone(j.tasks)
 	slices.SortStableFunc(tasks, func(a, b *task) int { return b.endedBy(now).Compare(a.endedBy(now)) })
-	var described strings.Builder
-	fmt.Fprintf(&described, " (objective=%s waited for", j.objective.Round(time.Millisecond))
+	late := &LateAnswer{Objective: j.objective}
 	for _, t := range tasks[:min(len(tasks), slowestTasks)] {
-		fmt.Fprintf(&described, " [%s]", j.describeTask(t))
+		late.Slowest = append(late.Slowest, j.progressOf(t))
 	}
-	return described.String() + ")"
+	return late
 }
 
-// describeTask tells where a task stands and where its latest run was.
-func (j *job) describeTask(t *task) string {
+// progressOf returns the state of a task of the job.
+func (j *job) progressOf(t *task) TaskProgress {
 	if t.run == 0 {
-		return fmt.Sprintf("%s not placed", t.name)
+		return TaskProgress{Task: t.name}
+	}
+	p := TaskProgress{
+		Task: t.name, Run: t.run, Agent: t.agent, Placed: t.placed.Sub(j.arrived),
+		Failures: t.failures, Moves: t.moves,
 	}
-	text := fmt.Sprintf("%s run=%d at %s placed=%s", t.name, t.run, t.agent, t.placed.Sub(j.arrived).Round(time.Millisecond))
 	if t.state == taskDone {
-		return text + fmt.Sprintf(" done=%s", t.ended.Sub(j.arrived).Round(time.Millisecond))
+		p.IsDone = true
+		p.Done = t.ended.Sub(j.arrived)
 	}
-	return text + fmt.Sprintf(" failures=%d moved=%d", t.failures, t.moves)
+	return p
 }
 
 // endedBy is when the task was done, or now if it is not.
@@ -128,17 +126,6 @@
 	}
 }
 
-func (d *Dispatcher) logDecision(now time.Time, j *job, decision Decision, detail string) {
-	d.emit(DecisionMade{Decision: decision, Job: j.ID, Kind: j.Kind.Name, Age: now.Sub(j.arrived), Detail: detail})
-}
-
-func (d *Dispatcher) logEnd(now time.Time, j *job, t *task, e RunUpdated) {
-	d.emit(DecisionMade{
-		Decision: DecisionEnded, Job: j.ID, Task: t.name, Run: e.Update.Run, Agent: e.Agent, Kind: j.Kind.Name,
-		Age: now.Sub(j.arrived), Detail: e.Update.Outcome.String() + " " + e.Update.Reason,
-	})
-}
-
 // describeRoom tells what a refusal rests on.
 func (d *Dispatcher) describeRoom(j *job) string {
 	var accepting, free int
@@ -151,31 +138,3 @@
 	return fmt.Sprintf("tasks=%d needs_cpu=%d agents=%d accepting=%d free_cpu=%d waiting=%d overdue=%t patience=%s",
 		len(j.tasks), j.Steps[0].Needs.CPU, len(d.agents), accepting, free, len(d.waiting), j.lateRetry, j.RemainingTime)
 }
-
-// outcomeOf returns the word for an answer.
-func outcomeOf(answer Answer) Outcome {
-	switch answer.(type) {
-	case Completed:
-		return OutcomeCompleted
-	case Failed:
-		return OutcomeFailed
-	case NotRun:
-		return OutcomeNotRun
-	case Interrupted:
-		return OutcomeInterrupted
-	default:
-		return outcomeUnknown
-	}
-}
-
-// describe returns an answer as it is logged.
-func describe(answer Answer) string {
-	switch a := answer.(type) {
-	case NotRun:
-		return string(outcomeOf(answer)) + ": " + a.Reason
-	case Interrupted:
-		return string(outcomeOf(answer)) + ": " + a.Reason
-	default:
-		return string(outcomeOf(answer))
-	}
-}
--- /dev/null
+++ b/internal/dispatch/decision.go
@@ -0,0 +1,123 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package dispatch
+
+import (
+	"time"
+
+	"sailhead/internal/runner"
+)
+
+// DecisionMade reports a decision for logs and metrics. Fields that do not apply to the decision are zero.
+type DecisionMade struct {
+	Decision Decision
+	Job      string
+	Kind     string
+	// Age is the time since the job arrived.
+	Age   time.Duration
+	Task  string
+	Run   uint32
+	Agent AgentID
+}
+
+// withRun returns the decision with the run that it is about.
+func (n DecisionMade) withRun(task string, run uint32, agent AgentID) DecisionMade {
+	n.Task = task
+	n.Run = run
+	n.Agent = agent
+	return n
+}
+
+// decisionMade returns a decision about the job.
+func (j *job) decisionMade(now time.Time, decision Decision) DecisionMade {
+	return DecisionMade{Decision: decision, Job: j.ID, Kind: j.Kind.Name, Age: now.Sub(j.arrived)}
+}
+
+// Decision is what a dispatcher decided or learned. It is one of the Decision types below.
+type Decision interface{ isDecision() }
+
+// DecisionAccepted: the job was accepted.
+type DecisionAccepted struct {
+	Tasks     int
+	Objective time.Duration
+	IsDurable bool
+}
+
+// DecisionJoined: another request waits for the answer to a job that was accepted before.
+type DecisionJoined struct{}
+
+// DecisionPlaced: a run was sent to an agent.
+type DecisionPlaced struct{}
+
+// DecisionEnded: a run ended, or did not start.
+type DecisionEnded struct {
+	Outcome runner.Outcome
+	Reason  string
+}
+
+// DecisionMoved: a run on an unhealthy worker was stopped to run again on a healthy one.
+type DecisionMoved struct{}
+
+// DecisionAnswered: the job was answered.
+type DecisionAnswered struct {
+	Answer Answer
+	// Late is nil if the answer came within the job's objective, or if nothing of the job ran.
+	Late *LateAnswer
+}
+
+// LateAnswer explains an answer that came after the job's objective.
+type LateAnswer struct {
+	Objective time.Duration
+	// Slowest are the tasks that ended last, unfinished ones first.
+	Slowest []TaskProgress
+}
+
+// TaskProgress describes a task and its latest run. Times count from the arrival of the job.
+type TaskProgress struct {
+	Task string
+	// Run is zero if the task was never placed. The fields below are zero then.
+	Run    uint32
+	Agent  AgentID
+	Placed time.Duration
+	IsDone bool
+	// Done is when the task was done, zero while IsDone is false.
+	Done     time.Duration
+	Failures int
+	Moves    int
+}
+
+// DecisionCallerLeft: no request waits for the job's answer any more, so the job was dropped.
+type DecisionCallerLeft struct{}
+
+// DecisionDropped: a durable job was dropped because another entry runs it or because it has ended.
+type DecisionDropped struct{}
+
+// DecisionAgentUp: a session with an agent was opened.
+type DecisionAgentUp struct{}
+
+// DecisionAgentUnresponsive: an agent gets no new tasks because it has not answered for some time.
+type DecisionAgentUnresponsive struct{}
+
+// DecisionAgentDown: the session with an agent was closed.
+type DecisionAgentDown struct{}
+
+// DecisionWorker: an agent described its worker.
+type DecisionWorker struct{ ID string }
+
+// DecisionAccepts: an agent began or stopped to accept tasks.
+type DecisionAccepts struct{ Accepts bool }
+
+func (DecisionAccepted) isDecision()          {}
+func (DecisionJoined) isDecision()            {}
+func (DecisionPlaced) isDecision()            {}
+func (DecisionEnded) isDecision()             {}
+func (DecisionMoved) isDecision()             {}
+func (DecisionAnswered) isDecision()          {}
+func (DecisionCallerLeft) isDecision()        {}
+func (DecisionDropped) isDecision()           {}
+func (DecisionAgentUp) isDecision()           {}
+func (DecisionAgentUnresponsive) isDecision() {}
+func (DecisionAgentDown) isDecision()         {}
+func (DecisionWorker) isDecision()            {}
+func (DecisionAccepts) isDecision()           {}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -4,7 +4,6 @@
 package dispatch
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -82,11 +81,11 @@
 		d.emit(StateReply{Waiter: e.Waiter, State: d.stateOf(e.Job)})
 	case AgentUp:
 		d.addAgent(&agent{id: e.Agent})
-		d.emit(DecisionMade{Decision: DecisionAgentUp, Agent: e.Agent})
+		d.emit(DecisionMade{Decision: DecisionAgentUp{}, Agent: e.Agent})
 	case AgentUnresponsive:
 		if a, ok := d.agents[e.Agent]; ok && !a.unresponsive {
 			a.unresponsive = true
-			d.emit(DecisionMade{Decision: DecisionAgentUnresponsive, Agent: e.Agent})
+			d.emit(DecisionMade{Decision: DecisionAgentUnresponsive{}, Agent: e.Agent})
 		}
 	case AgentResponsive:
 		if a, ok := d.agents[e.Agent]; ok {
@@ -97,7 +96,7 @@
 	case WorkerDescribed:
 		if a, ok := d.agents[e.Agent]; ok {
 			a.record = e.Record
-			d.emit(DecisionMade{Decision: DecisionWorker, Agent: e.Agent, Detail: e.Record.ID})
+			d.emit(DecisionMade{Decision: DecisionWorker{ID: e.Record.ID}, Agent: e.Agent})
 		}
 	case LoadReceived:
 		d.handleLoad(now, e)
@@ -159,7 +158,7 @@
 		return
 	}
 	if a.load.Accepts != e.Load.Accepts {
-		d.emit(DecisionMade{Decision: DecisionAccepts, Agent: e.Agent, Detail: fmt.Sprint(e.Load.Accepts)})
+		d.emit(DecisionMade{Decision: DecisionAccepts{Accepts: e.Load.Accepts}, Agent: e.Agent})
 	}
 	if e.Load.Accepts && !a.load.Accepts {
 		d.agentRecovered(now, e.Agent)
@@ -173,7 +172,7 @@
 		return
 	} else if ok {
 		j.waiters = append(j.waiters, e.Waiter)
-		d.logDecision(now, j, DecisionJoined, "")
+		d.emit(j.decisionMade(now, DecisionJoined{}))
 		return
 	}
 	j := newJob(now, e)
@@ -184,7 +183,7 @@
 	j.lateRetry = d.callerTimes.isLateRetry(j)
 	d.jobs[j.ID] = j
 	d.enqueue(j)
-	d.logDecision(now, j, DecisionAccepted, fmt.Sprintf("tasks=%d objective=%s", len(j.tasks), j.objective.Round(time.Millisecond)))
+	d.emit(j.decisionMade(now, DecisionAccepted{Tasks: len(j.tasks), Objective: j.objective}))
 }
 
 // refusalReason says why a new job is not taken; nothing means that it is.
--- a/internal/dispatch/durable.go
+++ b/internal/dispatch/durable.go
@@ -73,14 +73,14 @@
 	}
 	d.jobs[j.ID] = j
 	d.enqueue(j)
-	d.logDecision(now, j, DecisionAccepted, "kept")
+	d.emit(j.decisionMade(now, DecisionAccepted{Tasks: len(j.tasks), Objective: j.objective, IsDurable: true}))
 }
 
 // dropDurable stops jobs that are kept elsewhere from now on, or that have ended.
 func (d *Dispatcher) dropDurable(now time.Time, ids []string) {
 	for _, id := range ids {
 		if j, ok := d.jobs[id]; ok && j.isDurable {
-			d.logDecision(now, j, DecisionDropped, "")
+			d.emit(j.decisionMade(now, DecisionDropped{}))
 			d.drop(now, j)
 		}
 	}
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -183,21 +183,6 @@
 	Name  string
 }
 
-// DecisionMade tells a decision for the log.
-type DecisionMade struct {
-	Decision Decision
-	Job      string
-	Task     string
-	Run      uint32
-	Agent    AgentID
-	Kind     string
-	// Age is the time since the job came.
-	Age time.Duration
-	// Outcome is what a job's answer says; nothing for other decisions.
-	Outcome Outcome
-	Detail  string
-}
-
 func (Reply) isEffect()        {}
 func (StateReply) isEffect()   {}
 func (CancelReply) isEffect()  {}
@@ -205,38 +190,6 @@
 func (StopTask) isEffect()     {}
 func (DecisionMade) isEffect() {}
 
-// Decision names a decision in the log.
-type Decision string
-
-// The decisions that are logged.
-const (
-	DecisionAccepted          Decision = "taken"
-	DecisionJoined            Decision = "joined"
-	DecisionPlaced            Decision = "placed"
-	DecisionEnded             Decision = "ended"
-	DecisionMoved             Decision = "moved"
-	DecisionAnswered          Decision = "answered"
-	DecisionCallerLeft        Decision = "caller_left"
-	DecisionDropped           Decision = "dropped"
-	DecisionAgentUp           Decision = "agent_up"
-	DecisionAgentUnresponsive Decision = "agent_silent"
-	DecisionAgentDown         Decision = "agent_down"
-	DecisionWorker            Decision = "worker"
-	DecisionAccepts           Decision = "accepts"
-)
-
-// Outcome is the word for an answer in logs and metrics.
-type Outcome string
-
-// The outcomes of jobs.
-const (
-	OutcomeCompleted   Outcome = "completed"
-	OutcomeFailed      Outcome = "failed"
-	OutcomeNotRun      Outcome = "not_run"
-	OutcomeInterrupted Outcome = "interrupted"
-	outcomeUnknown     Outcome = "unknown"
-)
-
 // Answer is the final answer to a job: Completed, Failed, NotRun or Interrupted.
 type Answer interface{ isAnswer() }
 
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -29,10 +29,7 @@
 				t.moves++
 				t.avoid = append(t.avoid, t.agent)
 				d.emit(StopTask{Agent: t.agent, Name: t.name})
-				d.emit(DecisionMade{
-					Decision: DecisionMoved, Job: j.ID, Task: t.name, Run: t.run, Agent: t.agent, Kind: j.Kind.Name,
-					Age: now.Sub(j.arrived), Detail: "the run lasts too long on a slow worker",
-				})
+				d.emit(j.decisionMade(now, DecisionMoved{}).withRun(t.name, t.run, t.agent))
 			}
 		}
 	}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -204,5 +204,5 @@
 		Name: t.name, Run: t.run, Payload: j.Payload, Needs: step.Needs, Checkpoint: t.checkpoint,
 		Expected: step.Expected, Priority: j.Kind.Priority, IsDurable: j.isDurable,
 	}})
-	d.emit(DecisionMade{Decision: DecisionPlaced, Job: j.ID, Task: t.name, Run: t.run, Agent: a.id, Kind: j.Kind.Name, Age: now.Sub(j.arrived)})
+	d.emit(j.decisionMade(now, DecisionPlaced{}).withRun(t.name, t.run, a.id))
 }
--- a/internal/dispatch/runs.go
+++ b/internal/dispatch/runs.go
@@ -16,7 +16,7 @@
 		return
 	}
 	d.removeAgent(id)
-	d.emit(DecisionMade{Decision: DecisionAgentDown, Agent: id})
+	d.emit(DecisionMade{Decision: DecisionAgentDown{}, Agent: id})
 	for name, last := range d.endingRuns {
 		if last.agent == id && last.endedBy.IsZero() {
 			d.endingRuns[name] = endingRun{agent: id, endedBy: now.Add(timing.RerunDelay)}
@@ -68,7 +68,8 @@
 	}
 	t.run = max(t.run, e.Update.Run)
 	if e.Update.Outcome.IsEnd() {
-		d.logEnd(now, j, t, e)
+		ended := DecisionEnded{Outcome: e.Update.Outcome, Reason: e.Update.Reason}
+		d.emit(j.decisionMade(now, ended).withRun(t.name, e.Update.Run, e.Agent))
 	}
 	if j.isDurable {
 		d.updateDurableRun(now, j, t, e)
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -131,7 +131,8 @@
 	return s.handle(Submitted{Job: job, Waiter: s.waiter})
 }
 
-// handle gives the dispatcher an event and prints the effects; of notes only those of answers, if asked.
+// handle passes an event to the dispatcher and prints the effects. Of the decisions it prints only answers, and only
+// if the command has the argument "notes".
 func (s *script) handle(event Event) string {
 	var out strings.Builder
 	for _, effect := range s.dispatcher.Handle(s.now, event) {
@@ -144,10 +145,37 @@
 		case Reply:
 			fmt.Fprintf(&out, "reply to %v: %s\n", e.Waiters, describe(e.Answer))
 		case DecisionMade:
-			if s.tells && e.Decision == DecisionAnswered {
-				fmt.Fprintf(&out, "note %s after %s: %s\n", e.Job, e.Age, e.Detail)
+			if answered, ok := e.Decision.(DecisionAnswered); ok && s.tells {
+				fmt.Fprintf(&out, "note %s after %s: %s%s\n", e.Job, e.Age, describe(answered.Answer), describeLate(answered.Late))
 			}
 		}
 	}
 	return out.String()
 }
+
+func describe(answer Answer) string {
+	switch a := answer.(type) {
+	case Completed:
+		return "completed"
+	case Failed:
+		return "failed"
+	case NotRun:
+		return "not_run: " + a.Reason
+	case Interrupted:
+		return "interrupted: " + a.Reason
+	default:
+		return fmt.Sprintf("%T", answer)
+	}
+}
+
+// describeLate prints the tasks of a late answer. It expects them to have been placed and done.
+func describeLate(late *LateAnswer) string {
+	if late == nil {
+		return ""
+	}
+	text := fmt.Sprintf(" (objective=%s waited for", late.Objective)
+	for _, p := range late.Slowest {
+		text += fmt.Sprintf(" [%s run=%d at %s placed=%s done=%s]", p.Task, p.Run, p.Agent, p.Placed, p.Done)
+	}
+	return text + ")"
+}
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -4,6 +4,8 @@
 package entry
 
 import (
+	"fmt"
+	"strings"
 	"time"
 
 	"github.com/go-kit/log"
@@ -11,20 +13,44 @@
 
 	"sailhead/internal/dispatch"
 	"sailhead/internal/metric"
+	"sailhead/internal/runner"
 )
 
-// The most lines a second for decisions that went well, and for all others.
+// Bounds of the log, in lines a second.
 const (
+	// successLines bounds the lines of jobs that were completed within their objective. Not measured.
 	successLines = 20
-	otherLines   = 200
+	// otherLines bounds the lines of all other decisions. Not measured.
+	otherLines = 200
 )
 
-// count counts a decision.
+// ageResolution is the resolution of the age of a job in the log.
+const ageResolution = time.Millisecond / 10
+
+// log counts a decision and logs it.
+func (e *Entry) log(n dispatch.DecisionMade) {
+	e.count(n)
+	fields := []any{"msg", messageOf(n.Decision)}
+	if n.Job != "" {
+		fields = append(fields, "job", n.Job, "kind", n.Kind, "age", n.Age.Round(ageResolution))
+	}
+	if n.Task != "" {
+		fields = append(fields, "task", n.Task, "run", n.Run)
+	}
+	if n.Agent != "" {
+		fields = append(fields, "agent", string(n.Agent))
+	}
+	// A line that cannot be written has nowhere else to go.
+	_ = e.loggerFor(n.Decision).Log(append(fields, "detail", detailOf(n.Decision))...)
+}
+
+// count updates the metrics of a decision.
 func (e *Entry) count(n dispatch.DecisionMade) {
-	switch n.Decision {
+	switch decision := n.Decision.(type) {
 	case dispatch.DecisionAnswered:
-		e.metrics.Add(metric.JobsPrefix+string(n.Outcome), 1)
-		e.answerTimes.Record(n.Kind+" "+string(n.Outcome), n.Age)
+		outcome := outcomeOf(decision.Answer)
+		e.metrics.Add(metric.JobsPrefix+outcome, 1)
+		e.answerTimes.Record(n.Kind+" "+outcome, n.Age)
 	case dispatch.DecisionPlaced:
 		e.metrics.Add(metric.TasksStarted, 1)
 		if n.Run == 1 {
@@ -35,33 +61,125 @@
 	}
 }
 
-// loggerFor returns the logger of a decision: those that went well are sampled, placements are for debugging.
-func (e *Entry) loggerFor(n dispatch.DecisionMade) log.Logger {
-	switch {
-	case n.Decision == dispatch.DecisionPlaced, n.Decision == dispatch.DecisionAccepted,
-		n.Decision == dispatch.DecisionEnded && n.Detail == "done ":
+// loggerFor returns the logger of a decision. The steps of a job that goes well are for debugging, and jobs completed
+// within their objective have a limit of their own, so that they do not crowd out the rest.
+func (e *Entry) loggerFor(decision dispatch.Decision) log.Logger {
+	switch decision := decision.(type) {
+	case dispatch.DecisionAccepted, dispatch.DecisionPlaced:
 		return level.Debug(e.logger)
-	case n.Outcome == dispatch.OutcomeCompleted && n.Detail == string(n.Outcome):
-		// Completed within its objective: others tell why not.
-		return e.successes
+	case dispatch.DecisionEnded:
+		if decision.Outcome == runner.OutcomeDone && decision.Reason == "" {
+			return level.Debug(e.logger)
+		}
+	case dispatch.DecisionAnswered:
+		if _, isCompleted := decision.Answer.(dispatch.Completed); isCompleted && decision.Late == nil {
+			return e.successes
+		}
+	}
+	return e.others
+}
+
+// messageOf returns the log message of a decision.
+func messageOf(decision dispatch.Decision) string {
+	switch decision.(type) {
+	case dispatch.DecisionAccepted:
+		return "taken"
+	case dispatch.DecisionJoined:
+		return "joined"
+	case dispatch.DecisionPlaced:
+		return "placed"
+	case dispatch.DecisionEnded:
+		return "ended"
+	case dispatch.DecisionMoved:
+		return "moved"
+	case dispatch.DecisionAnswered:
+		return "answered"
+	case dispatch.DecisionCallerLeft:
+		return "caller_left"
+	case dispatch.DecisionDropped:
+		return "dropped"
+	case dispatch.DecisionAgentUp:
+		return "agent_up"
+	case dispatch.DecisionAgentUnresponsive:
+		return "agent_silent"
+	case dispatch.DecisionAgentDown:
+		return "agent_down"
+	case dispatch.DecisionWorker:
+		return "worker"
+	case dispatch.DecisionAccepts:
+		return "accepts"
 	default:
-		return e.others
+		return fmt.Sprintf("%T", decision)
 	}
 }
 
-// log logs a decision.
-func (e *Entry) log(n dispatch.DecisionMade) {
-	e.count(n)
-	logger := e.loggerFor(n)
-	fields := []any{"msg", string(n.Decision)}
-	if n.Job != "" {
-		fields = append(fields, "job", n.Job, "kind", n.Kind, "age", n.Age.Round(time.Millisecond/10))
+// detailOf returns the field "detail" of a decision, empty if its message says everything.
+func detailOf(decision dispatch.Decision) string {
+	switch d := decision.(type) {
+	case dispatch.DecisionAccepted:
+		if d.IsDurable {
+			return "kept"
+		}
+		return fmt.Sprintf("tasks=%d objective=%s", d.Tasks, d.Objective.Round(time.Millisecond))
+	case dispatch.DecisionEnded:
+		return d.Outcome.String() + " " + d.Reason
+	case dispatch.DecisionMoved:
+		return "the run lasts too long on a slow worker"
+	case dispatch.DecisionAnswered:
+		return describeAnswer(d)
+	case dispatch.DecisionWorker:
+		return d.ID
+	case dispatch.DecisionAccepts:
+		return fmt.Sprint(d.Accepts)
+	default:
+		return ""
 	}
-	if n.Task != "" {
-		fields = append(fields, "task", n.Task, "run", n.Run)
+}
+
+// outcomeOf returns the word for an answer in logs and metrics.
+func outcomeOf(answer dispatch.Answer) string {
+	switch answer.(type) {
+	case dispatch.Completed:
+		return "completed"
+	case dispatch.Failed:
+		return "failed"
+	case dispatch.NotRun:
+		return "not_run"
+	case dispatch.Interrupted:
+		return "interrupted"
+	default:
+		return "unknown"
 	}
-	if n.Agent != "" {
-		fields = append(fields, "agent", string(n.Agent))
+}
+
+// describeAnswer returns the outcome of a job, its reason, and the slowest tasks if the answer came late.
+func describeAnswer(d dispatch.DecisionAnswered) string {
+	text := outcomeOf(d.Answer)
+	switch answer := d.Answer.(type) {
+	case dispatch.NotRun:
+		text += ": " + answer.Reason
+	case dispatch.Interrupted:
+		text += ": " + answer.Reason
+	}
+	if d.Late == nil {
+		return text
+	}
+	var late strings.Builder
+	fmt.Fprintf(&late, " (objective=%s waited for", d.Late.Objective.Round(time.Millisecond))
+	for _, progress := range d.Late.Slowest {
+		fmt.Fprintf(&late, " [%s]", describeProgress(progress))
+	}
+	return text + late.String() + ")"
+}
+
+// describeProgress returns the state of a task with its latest run.
+func describeProgress(p dispatch.TaskProgress) string {
+	if p.Run == 0 {
+		return p.Task + " not placed"
+	}
+	text := fmt.Sprintf("%s run=%d at %s placed=%s", p.Task, p.Run, p.Agent, p.Placed.Round(time.Millisecond))
+	if p.IsDone {
+		return text + fmt.Sprintf(" done=%s", p.Done.Round(time.Millisecond))
 	}
-	_ = logger.Log(append(fields, "detail", n.Detail)...)
+	return text + fmt.Sprintf(" failures=%d moved=%d", p.Failures, p.Moves)
 }
