--- a/internal/dispatch/order.go
+++ b/internal/dispatch/order.go
@@ -14,7 +14,8 @@
 // Inputs: whether a task of the job was ever sent, whether it is a late retry, the priority of its kind (0 is the most
 // urgent), its arrival.
 //
-// Rule: jobs of which a task was sent, then jobs that are not late retries, then by priority, then by arrival.
+// Rule: jobs of which a task was sent, then jobs that are not late retries, then by priority, then by arrival. Jobs that
+// are equal in all four, as those submitted in one call of Handle may be, are placed last in, first out (enqueue).
 //
 // Reason: the runs of a begun job are lost work unless the rest of the job is done. For late retries see retry.go.
 //
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -15,7 +15,8 @@
 // Inputs: the waiting jobs in the order of compareJobs, the free resources of the workers.
 //
 // Rule: each job gets as many of the free resources as it can use. If some of its tasks found none, no later job is
-// placed: the next resources that become free are for the rest of this job.
+// placed: the next resources that become free are for the rest of this job. That also holds for later jobs of other
+// services, and if no worker serves the job at all.
 //
 // Reason: jobs of many tasks were refused while workers had resources for some of the tasks, and later jobs waited for
 // them meanwhile. Letting later jobs pass gained nothing.
