--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -146,7 +146,7 @@
 		Durable: platform.NewDurableJobs(store), StoreWrites: s.StoreWrites,
 	}, configurations, platform.NewStoreWatcher(store), logger, metrics)
 	closeReady := platform.NewReadiness(listeners[1], entry)
-	ingress := platform.NewIngress(listeners[0], configurations.Current, entry)
+	ingress := platform.NewIngress(listeners[0], configurations.Current, entry, logger)
 	return onPlatform{setSeeds: entry.SetSeeds, stop: func() error {
 		err := stopEntry(entry, ingress)
 		closeWithin(closeTime, closeReady, closeEntry, closeStore)
