--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,7 +1,9 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package cli is the command line of sailhead.
+// Package cli is the command line of sailhead: it parses arguments, reads settings, connects the parts of a process and
+// reports errors as exit codes. It owns the process's signals, log and metrics page; every decision about jobs lies in the
+// packages that it connects. If a part cannot start, the command prints why and exits with a code that is not 0.
 package cli
 
 import (
@@ -16,16 +18,16 @@
 	"sailhead/internal/version"
 )
 
-// The exit codes of the command.
+// The exit codes of the command. Deploy files and supervisors rely on them.
 const (
 	exitOK      = 0
 	exitFailure = 1
 	exitUsage   = 2
-	// exitRemoved tells the supervisor to start the process anew.
+	// exitRemoved asks the supervisor to start the process again: the roster no longer lists it.
 	exitRemoved = 3
 )
 
-// command is the command line.
+// command is the command line; exactly one of its fields is set once it is parsed.
 type command struct {
 	Entry           *daemonCommand   `arg:"subcommand:entry" help:"take jobs from callers and forward them"`
 	Agent           *daemonCommand   `arg:"subcommand:agent" help:"own submissions and guard the worker beside"`
@@ -40,7 +42,7 @@
 	DumpSettings    *dumpCommand     `arg:"subcommand:dump-settings" help:"print the settings in force with help and ranges"`
 }
 
-// daemonCommand starts a daemon.
+// daemonCommand holds the arguments of the commands that run until a signal.
 type daemonCommand struct {
 	Settings string `arg:"positional,required" placeholder:"FILE" help:"settings file"`
 }
@@ -62,7 +64,8 @@
 	err io.Writer
 }
 
-// Run runs the command line and returns the exit code.
+// Run runs the command line and returns the exit code. Errors of writing to out and errOut are dropped: there is nowhere
+// else to report them.
 func Run(args []string, in io.Reader, out, errOut io.Writer) int {
 	var c command
 	parser, err := arg.NewParser(arg.Config{Program: "sailhead"}, &c)
@@ -89,6 +92,7 @@
 	return exitCode(c.run(streams{in: in, out: out, err: errOut}), errOut)
 }
 
+// run runs the subcommand that was given.
 func (c *command) run(s streams) error {
 	switch {
 	case c.Entry != nil:
@@ -116,7 +120,7 @@
 	}
 }
 
-// exitCode reports an error and returns the code for it.
+// exitCode prints an error and returns the exit code for it.
 func exitCode(err error, errOut io.Writer) int {
 	if err == nil {
 		return exitOK
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -19,23 +19,25 @@
 	"sailhead/internal/settings"
 )
 
-// errRemoved says that the process must be started anew to serve again.
+// errRemoved is returned by a process that the roster no longer lists; a restart joins the roster again.
 var errRemoved = daemon.ErrRemoved
 
-// process is a started daemon.
+// process is a running daemon.
 type process struct {
-	stop    func() error
+	// stop shuts the daemon down and returns once it has ended.
+	stop func() error
+	// removed is closed when the roster no longer lists the daemon; nil if it is never listed.
 	removed <-chan struct{}
 }
 
-// runDaemon starts a daemon and stops it as planned on SIGTERM or SIGINT.
+// runDaemon starts a daemon and shuts it down on SIGTERM or SIGINT, or when the roster no longer lists it.
 func runDaemon(s streams, path string, role settings.Role) error {
 	loaded, err := settings.LoadFor(path, role)
 	if err != nil {
 		return err
 	}
 	logger := logging.New(s.err, logging.Level(loaded.LogLevel), string(role))
-	signals := make(chan os.Signal, 2)
+	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	started, err := startDaemon(loaded, logger)
@@ -51,6 +53,7 @@
 	}
 }
 
+// startDaemon starts the daemon of the settings' role.
 func startDaemon(s settings.Settings, logger log.Logger) (process, error) {
 	switch s.Role {
 	case settings.RoleEntry:
@@ -78,6 +81,7 @@
 	}
 }
 
+// standin wraps a stand-in, which is in no roster and stops without an error.
 func standin(logger log.Logger, address string, stop func(), err error) (process, error) {
 	if err != nil {
 		return process{}, err
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -9,7 +9,7 @@
 	"sailhead/internal/native/demo"
 )
 
-// demoCommand runs a whole small system in this process.
+// demoCommand runs entries, agents and workers in this process and submits jobs to them.
 type demoCommand struct {
 	Agents  int           `arg:"--agents" default:"4" help:"number of agents with a worker each"`
 	Entries int           `arg:"--entries" default:"2" help:"number of entries"`
--- a/internal/cli/operate.go
+++ b/internal/cli/operate.go
@@ -18,23 +18,23 @@
 	"sailhead/internal/settings"
 )
 
-// operateTime bounds one line of an operator.
-const operateTime = 20 * time.Second
+// operateTimeout is the longest time that one line of an operator may take. Not measured.
+const operateTimeout = 20 * time.Second
 
-// operatorOptions say where an operator's commands find the system.
+// operatorOptions are the options of the commands that connect to running processes.
 type operatorOptions struct {
 	Settings string `arg:"--settings" placeholder:"FILE" help:"settings file of the role operator"`
 	JSON     bool   `arg:"--json" help:"print JSON"`
 }
 
-// operateCommand executes lines of the query and command language.
+// operateCommand executes one line of the query and command language, or reads lines interactively.
 type operateCommand struct {
 	operatorOptions
 	History string   `arg:"--history" placeholder:"FILE" help:"file that keeps the interactive history"`
 	Line    []string `arg:"positional" placeholder:"WORD" help:"one line to execute; without it the command is interactive"`
 }
 
-// open returns a session with the settings in force.
+// open returns a session with the running processes. The author of its changes is the settings' name, or else the user.
 func (o *operatorOptions) open() (*operator.Session, func(), error) {
 	s := settings.New(settings.RoleOperator)
 	if o.Settings != "" {
@@ -48,14 +48,14 @@
 	if author == "" {
 		author = os.Getenv("USER")
 	}
-	options := operator.Options{Author: author, Region: s.Region, PlatformAddress: string(s.PlatformAddress), PlatformTimeout: s.PlatformTimeout}
-	for _, seed := range s.Seeds {
-		options.Seeds = append(options.Seeds, string(seed))
-	}
-	session, cleanup := operator.NewSession(options)
+	session, cleanup := operator.NewSession(operator.Options{
+		Author: author, Region: s.Region, Seeds: s.SeedAddresses(),
+		PlatformAddress: string(s.PlatformAddress), PlatformTimeout: s.PlatformTimeout,
+	})
 	return session, cleanup, nil
 }
 
+// write prints a result as text, or as JSON if the option is set.
 func (o *operatorOptions) write(out io.Writer, result operator.Result) error {
 	if o.JSON {
 		return operator.WriteJSON(out, result)
@@ -75,8 +75,9 @@
 	return c.interact(s, session)
 }
 
+// execute executes one line and prints its result.
 func (c *operateCommand) execute(s streams, session *operator.Session, line string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), operateTime)
+	ctx, cancel := context.WithTimeout(context.Background(), operateTimeout)
 	defer cancel()
 	result, err := session.Execute(ctx, line)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return c.write(s.out, result)
 }
 
-// interact reads lines with history until the end of the input.
+// interact executes lines until the input ends. An error of a line is printed and does not end it.
 func (c *operateCommand) interact(s streams, session *operator.Session) error {
 	reader, err := readline.NewEx(&readline.Config{
 		Prompt: "sailhead> ", HistoryFile: c.History, Stdin: io.NopCloser(s.in), Stdout: s.out, Stderr: s.err,
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -5,9 +5,7 @@
 
 import (
 	"context"
-	"expvar"
 	"net"
-	"net/http"
 	"os"
 	"os/signal"
 	"syscall"
@@ -17,19 +15,18 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"sailhead/internal/agent"
 	"sailhead/internal/entry"
 	"sailhead/internal/logging"
 	"sailhead/internal/metric"
-	"sailhead/internal/runner"
 	"sailhead/internal/settings"
 	"sailhead/platform"
 )
 
-// runPlatform runs an entry or an agent on the users' platform until it is told to stop. SIGHUP reads the
-// settings file again: seeds and log level are taken into use, the rest at the next start.
+// runPlatform runs an entry or an agent on the users' platform until SIGTERM or SIGINT, which start a shutdown. SIGHUP
+// reads the settings file again: changed seeds and log level apply at once, other options at the next start. A file that
+// is wrong then is logged and changes nothing.
 func runPlatform(s streams, path string, role settings.Role) error {
-	signals := make(chan os.Signal, 4)
+	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	loaded, err := settings.LoadFor(path, role)
@@ -60,38 +57,25 @@
 		_ = level.Info(logger).Log("msg", "settings read again", "err", err)
 		if err == nil {
 			setLevel(logging.Level(reloaded.LogLevel))
-			p.setSeeds(seedsOf(reloaded))
+			p.setSeeds(reloaded.SeedAddresses())
 		}
 	}
 	return p.stop()
 }
 
-// onPlatform is a started process on the users' platform.
+// signalBuffer is how many signals may wait to be handled; the Go runtime drops further ones. Not measured: one is
+// enough for a shutdown, the others let SIGHUP arrive while an earlier one is handled.
+const signalBuffer = 4
+
+// onPlatform is a running process on the users' platform.
 type onPlatform struct {
-	stop     func() error
+	// stop shuts the process down and returns once it has ended.
+	stop func() error
+	// setSeeds replaces the addresses of the processes that are asked while the store does not answer.
 	setSeeds func([]string)
 }
 
-// serveMetrics shows the counters and histograms of the process, and how many lines of the log were dropped.
-func serveMetrics(s settings.Settings, ring *logging.Ring) (func(), error) {
-	if s.MetricsAddress == "" {
-		return func() {}, nil
-	}
-	listeners, err := listen(s.MetricsAddress)
-	if err != nil {
-		return nil, err
-	}
-	if expvar.Get(droppedLines) == nil {
-		expvar.Publish(droppedLines, expvar.Func(func() any { return ring.Dropped() }))
-	}
-	server := &http.Server{Handler: expvar.Handler(), ReadHeaderTimeout: time.Second}
-	go func() { _ = server.Serve(listeners[0]) }()
-	return func() { _ = server.Close() }, nil
-}
-
-// droppedLines names the counter of the log's lines that were dropped.
-const droppedLines = "log_lines_dropped"
-
+// startOnPlatform starts the process of the settings' role.
 func startOnPlatform(s settings.Settings, logger log.Logger, metrics *metric.Set) (onPlatform, error) {
 	if s.Role == settings.RolePlatformEntry {
 		return startPlatformEntry(s, logger, metrics)
@@ -99,7 +83,7 @@
 	return startPlatformAgent(s, logger, metrics)
 }
 
-// listen opens all listeners, or none.
+// listen opens a listener at each address. If one fails it closes the others and returns the error.
 func listen(addresses ...settings.Address) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, address := range addresses {
@@ -115,14 +99,6 @@
 	return listeners, nil
 }
 
-func seedsOf(s settings.Settings) []string {
-	seeds := make([]string, 0, len(s.Seeds))
-	for _, seed := range s.Seeds {
-		seeds = append(seeds, string(seed))
-	}
-	return seeds
-}
-
 const (
 	// balancerDelay is how long after the start of a planned stop the balancer may send new connections: it asks
 	// every second, and misses twice.
@@ -142,7 +118,7 @@
 	store, closeStore := platform.NewStore(string(s.PlatformAddress))
 	configurations := &platform.Configurations{}
 	entry, closeEntry := entry.New(entry.Settings{
-		Name: s.Name, Zone: s.Zone, Peers: listeners[2], Seeds: seedsOf(s), StopTimeout: s.StopTimeout, Ring: s.Ring, Jobs: s.Jobs,
+		Name: s.Name, Zone: s.Zone, Peers: listeners[2], Seeds: s.SeedAddresses(), StopTimeout: s.StopTimeout, Ring: s.Ring, Jobs: s.Jobs,
 		Durable: platform.NewDurableJobs(store), StoreWrites: s.StoreWrites,
 	}, configurations, platform.NewStoreWatcher(store), logger, metrics)
 	closeReady := platform.NewReadiness(listeners[1], entry)
@@ -191,24 +167,3 @@
 	defer cancel()
 	return ingress.Shutdown(ctx)
 }
-
-func startPlatformAgent(s settings.Settings, logger log.Logger, metrics *metric.Set) (onPlatform, error) {
-	listeners, err := listen(s.HeartbeatAddress, s.PeerAddress)
-	if err != nil {
-		return onPlatform{}, err
-	}
-	store, closeStore := platform.NewStore(string(s.PlatformAddress))
-	worker, closeWorker := platform.NewWorker(string(s.BackendAddress))
-	agent, closeAgent := agent.New(agent.Settings{
-		Name: s.Name, Zone: s.Zone, Sessions: listeners[1], Seeds: seedsOf(s),
-		Limits: runner.DefaultLimits(s.HoldTime, s.StopTime), StopTimeout: s.StopTimeout, Ring: s.Ring,
-	}, worker, platform.NewStoreWatcher(store), logger, metrics)
-	closeHeartbeats := platform.NewHeartbeats(listeners[0], agent)
-	return onPlatform{setSeeds: agent.SetSeeds, stop: func() error {
-		err := closeAgent()
-		closeHeartbeats()
-		closeWorker()
-		closeStore()
-		return err
-	}}, nil
-}
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -26,7 +26,7 @@
 	return err
 }
 
-// dumpCommand prints the settings in force.
+// dumpCommand prints the settings of a file, defaults included, or the defaults of a role.
 type dumpCommand struct {
 	File string `arg:"positional" placeholder:"FILE" help:"settings file"`
 	Role string `arg:"--role" placeholder:"ROLE" help:"print the defaults of a role instead"`
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -15,7 +15,7 @@
 	"sailhead/internal/timeline"
 )
 
-// timelineCommand shows the events of all processes.
+// timelineCommand prints events of all processes in order of time, from log files or from running processes.
 type timelineCommand struct {
 	operatorOptions
 	Submission string   `arg:"--submission" placeholder:"KEY" help:"only events of the submission"`
@@ -50,7 +50,7 @@
 		return err
 	}
 	defer cleanup()
-	ctx, cancel := context.WithTimeout(context.Background(), operateTime)
+	ctx, cancel := context.WithTimeout(context.Background(), operateTimeout)
 	defer cancel()
 	result, err := session.Timeline(ctx, operator.TimelineQuery{
 		Submission: c.Submission, Worker: c.Worker, Since: since, Until: until,
@@ -61,7 +61,7 @@
 	return c.write(s.out, result)
 }
 
-// mergeLogs shows the lines of log files in the order of their clocks.
+// mergeLogs prints the lines of log files ordered by their timestamps.
 func (c *timelineCommand) mergeLogs(s streams, since, until time.Time) error {
 	var lines []timeline.Line
 	for _, name := range c.Logs {
@@ -80,6 +80,7 @@
 	return c.write(s.out, logTable(lines))
 }
 
+// readLog reads a log file, or standard input if the name is -.
 func readLog(s streams, name string) ([]timeline.Line, error) {
 	if name == "-" {
 		return timeline.ReadLogs(s.in)
@@ -92,7 +93,7 @@
 	return timeline.ReadLogs(file)
 }
 
-// logTable returns lines as a table.
+// logTable returns lines as a table with a row a line.
 func logTable(lines []timeline.Line) operator.Table {
 	t := operator.Table{Columns: []string{"time", "process", "event", "fields"}}
 	for _, line := range lines {
@@ -105,7 +106,8 @@
 	return t
 }
 
-// parseTime reads a point in time or a span before now; an empty text is no bound.
+// parseTime parses the value of an option: a duration counts back from now, anything else must be an RFC 3339 time.
+// Empty text returns the zero time, which means no bound.
 func parseTime(option, text string, now time.Time) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
--- a/internal/native/daemon/node.go
+++ b/internal/native/daemon/node.go
@@ -89,11 +89,7 @@
 	store, closePlatform := keyvalue.NewClient(string(n.settings.PlatformAddress), n.settings.PlatformTimeout)
 	n.client = client
 	n.cleanups = append(n.cleanups, closePlatform, closePeers)
-	seeds := make([]string, 0, len(n.settings.Seeds))
-	for _, seed := range n.settings.Seeds {
-		seeds = append(seeds, string(seed))
-	}
-	n.exchanger = gossip.NewExchanger(n.state, client, n.self.ID, n.self.Address, seeds, n.metrics, n.part("gossip"))
+	n.exchanger = gossip.NewExchanger(n.state, client, n.self.ID, n.self.Address, n.settings.SeedAddresses(), n.metrics, n.part("gossip"))
 	n.ping = n.exchanger.ExchangeWith
 	n.exchanger.Heard = n.liveness.Heard
 	times := membership.Times{Retention: 2 * n.limits(0).Retention(), ListLag: n.settings.ListLag}
--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Dump writes the settings in force as a settings file, with the help and the range of each option.
+// Dump writes the settings as a settings file that Load accepts, with the help and the range of each option as a
+// comment. It returns the error of the writer.
 func (s Settings) Dump(out io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "{\n  %q: %q,\n", nameOfRoleOption, s.Role)
@@ -31,7 +32,7 @@
 	return err
 }
 
-// literal returns the option's value as it stands in a settings file.
+// literal returns the value of the option in the form of a settings file, ready for encoding/json.
 func (o Option) literal(s *Settings) any {
 	switch place := o.value(s).(type) {
 	case *time.Duration:
@@ -48,7 +49,7 @@
 	}
 }
 
-// limits describes what values the option takes.
+// limits describes the values that the option accepts, as the end of its help text.
 func (o Option) limits() string {
 	switch {
 	case len(o.Choices) > 0:
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -14,10 +14,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxFile is the largest settings file, in bytes.
+// maxFile is the largest settings file, in bytes. It keeps a wrong path, such as that of a log, from being read
+// whole; not measured.
 const maxFile = 1 << 20
 
-// Error names the file, the line and the option that is wrong.
+// Error says which line of a settings file is wrong and why. Option is empty if the line holds none.
 type Error struct {
 	File   string
 	Line   int
@@ -25,7 +26,7 @@
 	Reason string
 }
 
-// Error returns the message in the form file:line: option: reason.
+// Error returns the file, the line, the option and the reason in one line.
 func (e *Error) Error() string {
 	if e.Option == "" {
 		return fmt.Sprintf("settings: %s:%d: %s", e.File, e.Line, e.Reason)
@@ -33,7 +34,7 @@
 	return fmt.Sprintf("settings: %s:%d: option %s: %s", e.File, e.Line, e.Option, e.Reason)
 }
 
-// New returns the default settings of a role.
+// New returns the defaults of a role.
 func New(role Role) Settings {
 	s := Settings{Role: role}
 	for _, option := range Options() {
@@ -42,12 +43,12 @@
 	return s
 }
 
-// Load reads and checks a file of any role.
+// Load reads and checks a file of any role. An error in an option is an *Error.
 func Load(path string) (Settings, error) {
 	return load(path, "")
 }
 
-// LoadFor reads and checks a file and requires its role.
+// LoadFor reads and checks a file, which must have the given role. An error in an option is an *Error.
 func LoadFor(path string, role Role) (Settings, error) {
 	return load(path, role)
 }
@@ -67,7 +68,8 @@
 	return Parse(path, data, required)
 }
 
-// Parse checks the text of a settings file; an empty role takes the file's own.
+// Parse parses and checks the text of a settings file; path is only used in errors. If required is empty, the file
+// may have any role.
 func Parse(path string, data []byte, required Role) (Settings, error) {
 	f := file{path: path, data: data}
 	object, err := f.parse()
@@ -85,21 +87,25 @@
 	return s, f.checkTogether(s)
 }
 
-// file is a settings file that is being read.
+// file is a settings file while it is parsed.
 type file struct {
-	path  string
-	data  []byte
+	path string
+	data []byte
+	// lines holds the line of each option that was read, counted from 1.
 	lines map[string]int
 }
 
+// fail returns an Error about a line.
 func (f *file) fail(line int, option, format string, args ...any) error {
 	return &Error{File: f.path, Line: line, Option: option, Reason: fmt.Sprintf(format, args...)}
 }
 
+// line returns the number of the line that holds an offset of the data.
 func (f *file) line(offset int) int {
 	return 1 + bytes.Count(f.data[:min(offset, len(f.data))], []byte{'\n'})
 }
 
+// parse returns the object that the file consists of.
 func (f *file) parse() (*hujson.Object, error) {
 	value, err := hujson.Parse(f.data)
 	if err != nil {
@@ -112,7 +118,7 @@
 	return object, nil
 }
 
-// role finds the role that the file names.
+// role returns the role that the file names.
 func (f *file) role(object *hujson.Object, required Role) (Role, error) {
 	for i := range object.Members {
 		name, literal, line, err := f.member(&object.Members[i])
@@ -142,7 +148,7 @@
 		return "", nil, line, f.fail(line, "", "unable to read the option's name")
 	}
 	name := literalName.String()
-	// The comments around the value are no part of it.
+	// The value is taken without the comments around it, and cloned because Standardize removes those inside in place.
 	clone := m.Value.Clone()
 	value := hujson.Value{Value: clone.Value}
 	value.Standardize()
@@ -153,6 +159,7 @@
 	return name, literal, line, nil
 }
 
+// apply checks each option of the file and stores its value in s.
 func (f *file) apply(s *Settings, object *hujson.Object) error {
 	options := Options()
 	f.lines = make(map[string]int)
@@ -182,6 +189,7 @@
 	return f.checkRequired(s.Role, options)
 }
 
+// checkRequired returns an error if an option is missing that the role needs.
 func (f *file) checkRequired(role Role, options []Option) error {
 	for _, option := range options {
 		if option.IsRequired && option.isFor(role) && f.lines[option.Name] == 0 {
@@ -191,7 +199,7 @@
 	return nil
 }
 
-// checkTogether checks the options that depend on each other.
+// checkTogether checks options whose values limit each other.
 func (f *file) checkTogether(s Settings) error {
 	if s.Role == RoleBackendStandin && s.ServiceTimeMin > s.ServiceTimeMax {
 		return f.fail(max(f.lines["service_time_min"], 1), "service_time_min", "%s is more than service_time_max %s", s.ServiceTimeMin, s.ServiceTimeMax)
--- a/internal/settings/option.go
+++ b/internal/settings/option.go
@@ -4,49 +4,50 @@
 package settings
 
 import (
-	"net/netip"
 	"slices"
 	"time"
 
-	"github.com/dustin/go-humanize"
-	"github.com/go-faster/errors"
-
 	"sailhead/internal/logging"
 )
 
-// Option is one setting: its name, default, range and help.
+// Option describes one option.
 type Option struct {
 	Name string
+	// Help is one sentence for operators. It is part of the interface: dump-settings prints it.
 	Help string
-	// Roles are the roles that have the option; none means all.
-	Roles   []Role
+	// Roles are the roles that have the option; empty means all.
+	Roles []Role
+	// Default has the type of the option's field in Settings, as have Min and Max. Those are nil if the option has no
+	// range.
 	Default any
 	Min     any
 	Max     any
+	// Choices are the only values of a text option; empty means any.
 	Choices []string
 	// IsRequired makes a file without the option an error.
 	IsRequired bool
-	// value returns the place of the option in the settings.
+	// value returns a pointer to the option's field.
 	value func(*Settings) any
 }
 
+// Groups of roles that have an option in common.
 var (
-	daemons         = []Role{RoleEntry, RoleAgent}
 	entries         = []Role{RoleEntry}
 	agents          = []Role{RoleAgent}
-	onPlatform      = []Role{RolePlatformEntry, RolePlatformAgent}
+	daemons         = []Role{RoleEntry, RoleAgent}
+	clients         = []Role{RoleEntry, RoleAgent, RoleOperator}
 	platformEntries = []Role{RolePlatformEntry}
+	platformAgents  = []Role{RolePlatformAgent}
+	onPlatform      = []Role{RolePlatformEntry, RolePlatformAgent}
 	allDaemons      = slices.Concat(daemons, onPlatform)
 	allEntries      = slices.Concat(entries, platformEntries)
 	allAgents       = slices.Concat(agents, platformAgents)
 	platformClients = slices.Concat(clients, onPlatform)
-	platformAgents  = []Role{RolePlatformAgent}
-	clients         = []Role{RoleEntry, RoleAgent, RoleOperator}
 	servers         = []Role{RolePlatformStandin, RoleBackendStandin}
 	backend         = []Role{RoleBackendStandin}
 )
 
-// Options lists every option in the order in which they are dumped.
+// Options returns all options in the order in which dump-settings prints them.
 func Options() []Option {
 	return slices.Concat(commonOptions(), entryOptions(), agentOptions(), platformOptions(), standinOptions())
 }
@@ -62,7 +63,7 @@
 		{Name: "log_level", Help: "Least severity that is logged.", Default: string(logging.LevelInfo),
 			Choices: []string{string(logging.LevelDebug), string(logging.LevelInfo), string(logging.LevelWarn), string(logging.LevelError)},
 			value:   func(s *Settings) any { return &s.LogLevel }},
-		{Name: "platform_address", Help: "Address of the platform's service.", Roles: platformClients, Default: Address(defaultPlatform),
+		{Name: "platform_address", Help: "Address of the platform's service.", Roles: platformClients, Default: defaultPlatform,
 			value: func(s *Settings) any { return &s.PlatformAddress }},
 		{Name: "platform_timeout", Help: "Longest time of a call to the platform.", Roles: clients,
 			Default: 2 * time.Second, Min: 10 * time.Millisecond, Max: time.Minute,
@@ -174,135 +175,3 @@
 			value: func(s *Settings) any { return &s.ServiceTimeMax }},
 	}
 }
-
-// isFor reports whether the role has the option.
-func (o Option) isFor(role Role) bool {
-	return len(o.Roles) == 0 || slices.Contains(o.Roles, role)
-}
-
-// reset gives the option its default.
-func (o Option) reset(s *Settings) {
-	switch place := o.value(s).(type) {
-	case *string:
-		*place = o.Default.(string)
-	case *int:
-		*place = o.Default.(int)
-	case *Size:
-		*place = o.Default.(Size)
-	case *time.Duration:
-		*place = o.Default.(time.Duration)
-	case *Address:
-		*place = o.Default.(Address)
-	case *[]Address:
-		*place = slices.Clone(o.Default.([]Address))
-	}
-}
-
-// set gives the option a value from a settings file.
-func (o Option) set(s *Settings, literal any) error {
-	switch place := o.value(s).(type) {
-	case *string:
-		return o.setText(place, literal)
-	case *int:
-		return o.setCount(place, literal)
-	case *Size:
-		return o.setSize(place, literal)
-	case *time.Duration:
-		return o.setDuration(place, literal)
-	case *Address:
-		return setAddress(place, literal)
-	case *[]Address:
-		return setAddresses(place, literal)
-	default:
-		return errors.Errorf("option of unknown type %T", place)
-	}
-}
-
-func (o Option) setText(place *string, literal any) error {
-	text, ok := literal.(string)
-	if !ok || text == "" {
-		return errors.New("needs a text that is not empty")
-	}
-	if len(o.Choices) > 0 && !slices.Contains(o.Choices, text) {
-		return errors.Errorf("%q is none of %v", text, o.Choices)
-	}
-	*place = text
-	return nil
-}
-
-func (o Option) setCount(place *int, literal any) error {
-	number, ok := literal.(float64)
-	if !ok || number != float64(int(number)) {
-		return errors.New("needs a whole number")
-	}
-	if int(number) < o.Min.(int) || int(number) > o.Max.(int) {
-		return errors.Errorf("%d is not within %d to %d", int(number), o.Min, o.Max)
-	}
-	*place = int(number)
-	return nil
-}
-
-func (o Option) setSize(place *Size, literal any) error {
-	text, ok := literal.(string)
-	if !ok {
-		return errors.New(`needs a size with a unit, such as "8MiB"`)
-	}
-	bytes, err := humanize.ParseBytes(text)
-	if err != nil {
-		return errors.New(`needs a size with a unit, such as "8MiB"`)
-	}
-	size := Size(min(bytes, 1<<62))
-	if size < o.Min.(Size) || size > o.Max.(Size) {
-		return errors.Errorf("%s is not within %s to %s", size, o.Min, o.Max)
-	}
-	*place = size
-	return nil
-}
-
-func (o Option) setDuration(place *time.Duration, literal any) error {
-	text, ok := literal.(string)
-	if !ok {
-		return errors.New(`needs a time with a unit, such as "250ms"`)
-	}
-	duration, err := time.ParseDuration(text)
-	if err != nil {
-		return errors.New(`needs a time with a unit, such as "250ms"`)
-	}
-	if duration < o.Min.(time.Duration) || duration > o.Max.(time.Duration) {
-		return errors.Errorf("%s is not within %s to %s", duration, o.Min, o.Max)
-	}
-	*place = duration
-	return nil
-}
-
-func setAddress(place *Address, literal any) error {
-	text, ok := literal.(string)
-	if !ok {
-		return errors.New(`needs an IP address with a port, such as "127.0.0.1:7500"`)
-	}
-	if _, err := netip.ParseAddrPort(text); err != nil {
-		return errors.Errorf(`%q is not an IP address with a port, such as "127.0.0.1:7500"`, text)
-	}
-	*place = Address(text)
-	return nil
-}
-
-func setAddresses(place *[]Address, literal any) error {
-	list, ok := literal.([]any)
-	if !ok {
-		return errors.New("needs a list of IP addresses with ports")
-	}
-	addresses := make([]Address, len(list))
-	for i, each := range list {
-		if err := setAddress(&addresses[i], each); err != nil {
-			return err
-		}
-	}
-	*place = addresses
-	return nil
-}
-
-// String returns the size with its unit.
-func (s Size) String() string {
-	return humanize.IBytes(uint64(s))
-}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package settings reads a process's settings file, JSON with comments, and checks every option.
+// Package settings reads and checks the settings file of a process, which is JSON with comments. It owns the names,
+// defaults, ranges and help texts of all options; what an option does is decided where it is used. It relies on nothing
+// but the file: a file that is missing or wrong stops the start with an error that names the line.
 package settings
 
-import (
-	"time"
-)
+import "time"
 
-// Role is what a process does; each role has its own options.
+// Role is the kind of a process. Each role has its own options.
 type Role string
 
 // The roles of processes.
@@ -20,34 +20,40 @@
 	RoleOperator        Role = "operator"
 	RolePlatformStandin Role = "platform-standin"
 	RoleBackendStandin  Role = "backend-standin"
-	nameOfRoleOption         = "role"
-	defaultPlatform          = "127.0.0.1:7400"
 )
 
+// nameOfRoleOption is the option that every file needs; it decides which other options the file may have.
+const nameOfRoleOption = "role"
+
+// defaultPlatform is where the platform stand-in of the examples listens.
+const defaultPlatform Address = "127.0.0.1:7400"
+
 // Roles lists all roles.
 func Roles() []Role {
 	return []Role{RoleEntry, RoleAgent, RolePlatformEntry, RolePlatformAgent, RoleOperator, RolePlatformStandin, RoleBackendStandin}
 }
 
-// The policies by which the owner of a job on sailhead's own interface chooses a worker; internal/native/placement has them.
+// The values of the option policy: how the owner of a job on sailhead's own interface chooses a worker. Package
+// internal/native/placement implements them.
 const (
 	PolicyRandom      = "random"
 	PolicyTwoChoices  = "two_choices"
 	PolicyLeastLoaded = "least_loaded"
 )
 
-// Policies lists the names that the option policy takes.
+// Policies lists the values of the option policy.
 func Policies() []string {
 	return []string{PolicyRandom, PolicyTwoChoices, PolicyLeastLoaded}
 }
 
-// Address is an IP address with a port.
+// Address is an IP address with a port, such as 127.0.0.1:7500. Empty is none.
 type Address string
 
 // Size is a number of bytes.
 type Size int64
 
-// Settings are the options in force.
+// Settings holds the value of every option. Those that the role does not have keep their defaults. The help text of an
+// option, see Options, says what its field means.
 type Settings struct {
 	Role     Role
 	Name     string
@@ -99,3 +105,12 @@
 	ServiceTimeMin time.Duration
 	ServiceTimeMax time.Duration
 }
+
+// SeedAddresses returns the addresses of the option seeds.
+func (s Settings) SeedAddresses() []string {
+	addresses := make([]string, 0, len(s.Seeds))
+	for _, seed := range s.Seeds {
+		addresses = append(addresses, string(seed))
+	}
+	return addresses
+}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestParseTakesValuesAndDefaults(t *testing.T) {
+func TestParseReturnsValuesAndDefaults(t *testing.T) {
 	s, err := Parse("f.json", []byte(goodAgent+`"window": "90s", "seeds": ["127.0.0.1:1"],}`), "")
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestDumpIsGoodSettings(t *testing.T) {
+func TestDumpIsValidSettings(t *testing.T) {
 	s, err := Parse("f.json", []byte(goodAgent+`"window": "90s", "policy": "random"}`), "")
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.json")
 	if err != nil || len(files) < 8 {
 		t.Fatalf("%v: found %v", err, files)
