--- a/internal/cluster/clusterpb/cluster.twirp.go
+++ b/internal/cluster/clusterpb/cluster.twirp.go
@@ -33,10 +33,10 @@
 
 // Cluster is served by every entry.
 type Cluster interface {
-	// Exchange gives an entry's view for another's.
+	// Exchange sends the view of an entry to another and returns the view of that one.
 	Exchange(context.Context, *View) (*View, error)
 
-	// Announce tells an entry of processes, and returns the members that it knows.
+	// Announce sends the record of the calling process to an entry and returns the members that the entry knows.
 	Announce(context.Context, *View) (*View, error)
 }
 
--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -1,8 +1,13 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package cluster keeps what a process knows of the other processes and of the operators' configuration, and
-// exchanges it between entries, so that news travels while the platform's store does not answer.
+// Package cluster holds what a process knows of sailhead's other processes on the users' platform and of the operators'
+// configuration, and exchanges it between entries. It owns the Directory, a copy in memory; the records themselves lie in
+// the platform's store, which the caller reads and writes.
+//
+// If the store does not answer, entries still learn new members and configurations from each other by Exchange, and of
+// new agents by Announce. If another entry dies, exchanges with it fail with an error for the caller to log and repeat; its
+// record stays in the directory, as a member that is not reachable is not known to be gone.
 package cluster
 
 import (
@@ -17,7 +22,7 @@
 	"sailhead/internal/worker"
 )
 
-// Role says what a member does.
+// Role is the kind of a member.
 type Role string
 
 // The roles of members.
@@ -26,19 +31,25 @@
 	RoleAgent Role = "agent"
 )
 
-// Member is a process of sailhead as the others know it.
+// Member is the record of a process of sailhead. It lies in the platform's store as JSON, so its fields, and those of
+// worker.Record, keep their names there.
 type Member struct {
-	Name    string `json:"name"`
-	Role    Role   `json:"role"`
-	Zone    string `json:"zone"`
+	// Name is unique among members, and the same after a restart.
+	Name string `json:"name"`
+	Role Role   `json:"role"`
+	// Zone is the availability zone.
+	Zone string `json:"zone"`
+	// Address is the IP address and port at which other processes reach this one.
 	Address string `json:"address"`
-	// Incarnation rises with each start of a process of the name.
+	// Incarnation is the start of the process, in nanoseconds since 1970. Of two records of a name the higher one is
+	// the newer.
 	Incarnation int64 `json:"incarnation"`
-	// Worker is the worker beside an agent, for the agent's next process.
+	// Worker is what an agent knows of its worker, for the agent to read after a restart; nil for an entry.
 	Worker *worker.Record `json:"worker,omitempty"`
 }
 
-// ParseMember reads a member as it lies in the platform's store.
+// ParseMember decodes a record that Encode made. It returns an error if data is no such JSON, or if the name or the
+// address is missing.
 func ParseMember(data []byte) (Member, error) {
 	var m Member
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -50,37 +61,41 @@
 	return m, nil
 }
 
-// Encode returns the member as it lies in the platform's store.
+// Encode returns the member as JSON for the platform's store.
 func (m Member) Encode() []byte {
+	// Marshal fails on channels, functions, cycles and special floats only; Member and worker.Record have none.
 	data, _ := json.Marshal(m)
 	return data
 }
 
-// Directory holds the newest record of each member and the newest configuration.
+// Directory holds the newest record of each member and the newest configuration document. It is safe for concurrent
+// use.
 type Directory struct {
 	mu      sync.Mutex
 	members map[string]Member
-	// forgotten holds the members that were given up, so that other entries do not bring them back.
-	forgotten map[string]forgotten
-	version   uint64
-	document  []byte
+	// removed holds the members that ForgetMember removed, by name, so that AddMember does not add them again when
+	// another entry still lists them.
+	removed map[string]removal
+	// version is the version of document, or 0 before the first.
+	version  uint64
+	document []byte
 	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
-// forgotten is a member that was given up at a time.
-type forgotten struct {
+// removal is the newest incarnation of a removed member and the time of its removal.
+type removal struct {
 	incarnation int64
 	at          time.Time
 }
 
-// forgottenTime is how long a member that was given up is not taken from other entries again. All entries give it
-// up within that time.
-const forgottenTime = time.Hour
+// removalLifetime is how long a removal is remembered. By then every other entry has removed the member too, as each does
+// ten minutes after it last reached it (forgetAfter of package entry). Design, not measured.
+const removalLifetime = time.Hour
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
-	return &Directory{members: make(map[string]Member), forgotten: make(map[string]forgotten), changed: make(chan struct{})}
+	return &Directory{members: make(map[string]Member), removed: make(map[string]removal), changed: make(chan struct{})}
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -90,17 +105,19 @@
 	return d.changed
 }
 
+// notify closes the channel of Changed. The caller holds mu.
 func (d *Directory) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// AddMember takes in a member's record unless a newer one is known, and reports whether it was news.
+// AddMember stores a record unless the directory has one of the same or a later incarnation, or has removed one. It
+// reports whether it stored the record.
 func (d *Directory) AddMember(m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known, ok := d.members[m.Name]
-	if ok && known.Incarnation >= m.Incarnation || d.forgotten[m.Name].incarnation >= m.Incarnation {
+	if ok && known.Incarnation >= m.Incarnation || d.removed[m.Name].incarnation >= m.Incarnation {
 		return false
 	}
 	d.members[m.Name] = m
@@ -108,32 +125,33 @@
 	return true
 }
 
-// AddAnnounced takes in what a member says of itself, also if it was given up.
+// AddAnnounced stores a record that came from the member itself. As the member is alive, it is stored even if the
+// incarnation was removed.
 func (d *Directory) AddAnnounced(m Member) {
 	d.mu.Lock()
-	delete(d.forgotten, m.Name)
+	delete(d.removed, m.Name)
 	d.mu.Unlock()
 	d.AddMember(m)
 }
 
-// ForgetMember gives a member up if its record is still of the incarnation given.
+// ForgetMember removes a member, unless the directory now has another incarnation of it.
 func (d *Directory) ForgetMember(now time.Time, m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for name, f := range d.forgotten {
-		if now.Sub(f.at) > forgottenTime {
-			delete(d.forgotten, name)
+	for name, r := range d.removed {
+		if now.Sub(r.at) > removalLifetime {
+			delete(d.removed, name)
 		}
 	}
 	if d.members[m.Name].Incarnation != m.Incarnation {
 		return
 	}
 	delete(d.members, m.Name)
-	d.forgotten[m.Name] = forgotten{incarnation: m.Incarnation, at: now}
+	d.removed[m.Name] = removal{incarnation: m.Incarnation, at: now}
 	d.notify()
 }
 
-// Members returns the members of a role by name.
+// Members returns the members of a role, ordered by name.
 func (d *Directory) Members(role Role) []Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,7 +165,8 @@
 	return members
 }
 
-// SetDocument takes in a configuration unless a newer one is known, and reports whether it was news.
+// SetDocument stores a configuration document unless the directory has one of the same or a higher version. It reports
+// whether it stored the document. The caller has checked the document and must not change it afterwards.
 func (d *Directory) SetDocument(version uint64, document []byte) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,14 +179,15 @@
 	return true
 }
 
-// Document returns the newest configuration and its version; 0 is none.
+// Document returns the newest configuration document and its version, or version 0 before the first.
 func (d *Directory) Document() (version uint64, document []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version, d.document
 }
 
-// view returns the directory for another process; the document goes along if the other has an older one.
+// view returns the directory as a message to another process. The document is part of it if withDocument is set and the
+// other process has a lower version. Members' workers are left out: only the store keeps them.
 func (d *Directory) view(otherVersion uint64, withDocument bool) *clusterpb.View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -183,7 +203,8 @@
 	return view
 }
 
-// membersOf returns the members of another's view; those without a name or an address are passed over.
+// membersOf returns the members of a view. Records without a name or an address are skipped, as nothing can be done with
+// them; ParseMember keeps them from being read from the store, so no current process sends one.
 func membersOf(view *clusterpb.View) []Member {
 	var members []Member
 	for _, m := range view.Members {
@@ -194,7 +215,7 @@
 	return members
 }
 
-// addMembers takes in the members of another's view.
+// addMembers adds the members of another process's view.
 func (d *Directory) addMembers(view *clusterpb.View) {
 	for _, m := range membersOf(view) {
 		d.AddMember(m)
--- a/internal/cluster/directory_test.go
+++ b/internal/cluster/directory_test.go
@@ -16,48 +16,48 @@
 	return Member{Name: "agent-1", Role: RoleAgent, Zone: "z", Address: "127.0.0.1:1", Incarnation: incarnation}
 }
 
-func TestTheNewestRecordOfAMemberIsKept(t *testing.T) {
+func TestAddMemberKeepsHighestIncarnation(t *testing.T) {
 	d := NewDirectory()
 	for _, c := range []struct {
 		incarnation int64
-		news        bool
+		added       bool
 	}{{5, true}, {5, false}, {4, false}, {6, true}} {
-		if got := d.AddMember(agentOf(c.incarnation)); got != c.news {
-			t.Errorf("incarnation %d: news %t", c.incarnation, got)
+		if got := d.AddMember(agentOf(c.incarnation)); got != c.added {
+			t.Errorf("AddMember of incarnation %d returned %t, want %t", c.incarnation, got, c.added)
 		}
 	}
 	if got := d.Members(RoleAgent); len(got) != 1 || got[0].Incarnation != 6 || len(d.Members(RoleEntry)) != 0 {
-		t.Fatalf("%v", got)
+		t.Fatalf("the directory has the agents %v, want incarnation 6 only", got)
 	}
 }
 
-func TestAMemberThatWasGivenUpComesBackByItsOwnWordOnly(t *testing.T) {
+func TestRemovedMemberReturnsOnlyWhenItAnnouncesItself(t *testing.T) {
 	d := NewDirectory()
 	now := time.Unix(1000, 0)
 	d.AddMember(agentOf(5))
 	d.ForgetMember(now, agentOf(4))
 	if len(d.Members(RoleAgent)) != 1 {
-		t.Fatal("a newer incarnation was given up")
+		t.Fatal("ForgetMember removed a newer incarnation")
 	}
 	d.ForgetMember(now, agentOf(5))
 	if d.AddMember(agentOf(5)) || len(d.Members(RoleAgent)) != 0 {
-		t.Fatal("another entry brought the member back")
+		t.Fatal("AddMember restored a removed member")
 	}
 	d.AddAnnounced(agentOf(5))
 	if len(d.Members(RoleAgent)) != 1 {
-		t.Fatal("the member is not heard")
+		t.Fatal("AddAnnounced did not restore the member")
 	}
 	d.ForgetMember(now, agentOf(5))
 	if !d.AddMember(agentOf(6)) {
-		t.Fatal("a newer incarnation is not taken")
+		t.Fatal("AddMember rejected a newer incarnation")
 	}
-	d.ForgetMember(now.Add(2*forgottenTime), agentOf(6))
-	if len(d.forgotten) != 1 {
-		t.Fatalf("%d members are remembered as given up", len(d.forgotten))
+	d.ForgetMember(now.Add(2*removalLifetime), agentOf(6))
+	if len(d.removed) != 1 {
+		t.Fatalf("%d removals are remembered, want 1", len(d.removed))
 	}
 }
 
-// accept takes documents of one byte, which is their version.
+// accept accepts documents of one byte, which is their version.
 func accept(document []byte) (uint64, error) {
 	if len(document) != 1 {
 		return 0, errors.New("no document")
@@ -65,8 +65,8 @@
 	return uint64(document[0]), nil
 }
 
-func TestAnExchangeBringsBothSidesTheNewest(t *testing.T) {
-	for name, versions := range map[string][2]byte{"the caller's": {7, 3}, "the other's": {3, 7}, "the same": {7, 7}} {
+func TestExchangeUpdatesBothSides(t *testing.T) {
+	for name, versions := range map[string][2]byte{"caller is newer": {7, 3}, "other is newer": {3, 7}, "same version": {7, 7}} {
 		t.Run(name, func(t *testing.T) {
 			own, other := NewDirectory(), NewDirectory()
 			own.SetDocument(uint64(versions[0]), []byte{versions[0]})
@@ -83,17 +83,17 @@
 			}
 			for _, d := range []*Directory{own, other} {
 				if version, document := d.Document(); version != 7 || len(document) != 1 || document[0] != 7 {
-					t.Errorf("version %d", version)
+					t.Errorf("version %d with document %v, want 7", version, document)
 				}
 				if len(d.Members(RoleAgent)) != 1 {
-					t.Error("the member did not travel")
+					t.Error("the member was not exchanged")
 				}
 			}
 		})
 	}
 }
 
-func TestABadDocumentOfAnotherIsNotTaken(t *testing.T) {
+func TestInvalidDocumentFromAnotherEntryIsIgnored(t *testing.T) {
 	d := NewDirectory()
 	e, closeExchanger := NewExchanger(d, accept)
 	defer closeExchanger()
@@ -101,18 +101,18 @@
 	other.SetDocument(9, []byte("broken"))
 	e.apply(other.view(0, true))
 	if version, _ := d.Document(); version != 0 {
-		t.Fatalf("version %d", version)
+		t.Fatalf("version %d was stored", version)
 	}
 }
 
-func TestRecordsThatCannotBeRead(t *testing.T) {
+func TestParseMemberRejectsInvalidRecords(t *testing.T) {
 	for _, bad := range []string{"", "{", "[]", `{"name":"a"}`, `{"address":"b"}`} {
 		if m, err := ParseMember([]byte(bad)); err == nil {
-			t.Errorf("%q is read as %v", bad, m)
+			t.Errorf("ParseMember(%q) returned %v and no error", bad, m)
 		}
 	}
 	want := agentOf(3)
 	if got, err := ParseMember(want.Encode()); err != nil || got != want {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("ParseMember of an encoded member returned %v, %v; want %v", got, err, want)
 	}
 }
--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// callTimeout bounds a call to another process.
+	// callTimeout is the longest time of a call to another process. Not measured.
 	callTimeout = 400 * time.Millisecond
-	// idleTimeout is how long a connection to another process is kept without use.
+	// idleTimeout is how long an unused connection to another process stays open. Not measured.
 	idleTimeout = 10 * time.Second
 )
 
-// Exchanger exchanges a directory with other processes.
+// Exchanger exchanges the content of a directory with other processes.
 type Exchanger struct {
 	directory *Directory
-	// accept reads a document that another process sent, and returns its version.
+	// accept checks a document from another process and returns its version.
 	accept func(document []byte) (version uint64, err error)
 	client *http.Client
 }
 
-// NewExchanger returns an exchanger for a directory; accept checks the documents of others. The clean-up
-// closes its connections.
+// NewExchanger returns an exchanger for a directory. accept checks a document that another process sent and returns its
+// version; documents for which it returns an error are ignored. The clean-up closes idle connections.
 func NewExchanger(directory *Directory, accept func([]byte) (uint64, error)) (*Exchanger, func()) {
 	transport := &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: callTimeout}).DialContext,
@@ -40,18 +40,20 @@
 	return e, transport.CloseIdleConnections
 }
 
-// Handler serves the exchanges that other processes ask for.
+// Handler returns the HTTP handler for calls from other processes.
 func (e *Exchanger) Handler() http.Handler {
 	return clusterpb.NewClusterServer(e)
 }
 
-// Exchange answers another entry; it serves the twirp interface.
+// Exchange adds what another entry knows and returns what this one knows. It implements clusterpb.Cluster and returns no
+// error.
 func (e *Exchanger) Exchange(_ context.Context, view *clusterpb.View) (*clusterpb.View, error) {
 	e.apply(view)
 	return e.directory.view(view.Version, view.Wants), nil
 }
 
-// Announce answers a process that tells of itself; it serves the twirp interface.
+// Announce adds the calling process and returns the members that this one knows. It implements clusterpb.Cluster and
+// returns no error.
 func (e *Exchanger) Announce(_ context.Context, view *clusterpb.View) (*clusterpb.View, error) {
 	for _, m := range membersOf(view) {
 		e.directory.AddAnnounced(m)
@@ -59,6 +61,9 @@
 	return e.directory.view(0, false), nil
 }
 
+// apply adds the members and the document of another entry's view. An error of accept is not logged: agents refuse all
+// documents on purpose, and an entry sends only documents that passed the same check there, where a bad one is logged when
+// it is read from the store.
 func (e *Exchanger) apply(view *clusterpb.View) {
 	e.directory.addMembers(view)
 	if len(view.Document) == 0 {
@@ -69,7 +74,8 @@
 	}
 }
 
-// ExchangeWith exchanges with the entry at an address; a second call brings it the document if it lacks it.
+// ExchangeWith sends what the directory holds to the entry at an address and adds what that entry knows. If the other
+// entry has a lower version of the configuration, a second call sends it the document. An error names the address.
 func (e *Exchanger) ExchangeWith(ctx context.Context, address string) error {
 	client := clusterpb.NewClusterProtobufClient("http://"+address, e.client)
 	view := e.directory.view(0, false)
@@ -83,12 +89,13 @@
 		return nil
 	}
 	if _, err := client.Exchange(ctx, e.directory.view(answer.Version, true)); err != nil {
-		return errors.Wrapf(err, "cluster: unable to bring the configuration to %s", address)
+		return errors.Wrapf(err, "cluster: unable to send the configuration to %s", address)
 	}
 	return nil
 }
 
-// AnnounceTo tells the entry at an address of this process and takes in the members that it knows.
+// AnnounceTo sends the record of this process to the entry at an address and adds the members that the entry knows. An
+// error names the address.
 func (e *Exchanger) AnnounceTo(ctx context.Context, address string, self Member) error {
 	client := clusterpb.NewClusterProtobufClient("http://"+address, e.client)
 	view := &clusterpb.View{Members: []*clusterpb.Member{{
