--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -10,8 +10,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Limited passes so many lines a second on and counts the others; the next line that passes tells how many
-// were suppressed before it.
+// Limited is a logger that limits the rate of lines. It drops the lines beyond it and adds their number, as the field
+// suppressed, to the next line that it logs. It is safe for concurrent use.
 type Limited struct {
 	mu         sync.Mutex
 	next       log.Logger
@@ -19,12 +19,12 @@
 	suppressed int
 }
 
-// NewLimited returns a logger that passes so many lines a second on to the next, and twice as many at once.
+// NewLimited returns a logger that passes at most perSecond lines a second to next, with bursts of twice as many.
 func NewLimited(next log.Logger, perSecond int) *Limited {
 	return &Limited{next: next, limiter: rate.NewLimiter(rate.Limit(perSecond), 2*perSecond)}
 }
 
-// Log logs a line or suppresses it.
+// Log passes a line to the next logger, or drops it and returns nil.
 func (l *Limited) Log(fields ...any) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -13,7 +13,7 @@
 	"github.com/go-kit/log/level"
 )
 
-func TestAFullRingDropsCountsAndTells(t *testing.T) {
+func TestFullRingDropsAndReportsLines(t *testing.T) {
 	reader, writer := io.Pipe()
 	ring, _ := NewRing(writer)
 	for range 3 * ringLines {
@@ -22,7 +22,7 @@
 		}
 	}
 	if ring.Dropped() < ringLines-1 {
-		t.Fatalf("%d lines were dropped", ring.Dropped())
+		t.Fatalf("%d lines were dropped, want at least %d", ring.Dropped(), ringLines-1)
 	}
 	buffer := make([]byte, 4096)
 	var text strings.Builder
@@ -36,7 +36,7 @@
 	go func() { _, _ = io.Copy(io.Discard, reader) }()
 }
 
-func TestTheCleanUpWritesWhatWaits(t *testing.T) {
+func TestRingCleanUpWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	ring, flush := NewRing(&out)
 	for range 100 {
@@ -44,11 +44,11 @@
 	}
 	flush()
 	if got := strings.Count(out.String(), "line\n"); got != 100 {
-		t.Fatalf("%d lines", got)
+		t.Fatalf("%d lines were written, want 100", got)
 	}
 }
 
-func TestALimitedLoggerTellsWhatItSuppressed(t *testing.T) {
+func TestLimitedReportsSuppressedLines(t *testing.T) {
 	var out bytes.Buffer
 	logger := NewLimited(log.NewLogfmtLogger(&out), 1000)
 	for range 5000 {
@@ -56,7 +56,7 @@
 	}
 	lines := strings.Count(out.String(), "\n")
 	if lines < 2000 || lines >= 5000 {
-		t.Fatalf("%d lines passed", lines)
+		t.Fatalf("%d lines were logged, want 2000 to 4999", lines)
 	}
 	logger.limiter.SetBurst(1 << 20)
 	for !strings.Contains(out.String(), "suppressed=") {
@@ -64,7 +64,7 @@
 	}
 }
 
-func BenchmarkALine(b *testing.B) {
+func BenchmarkLogLine(b *testing.B) {
 	ring, flush := NewRing(io.Discard)
 	defer flush()
 	logger := New(ring, LevelInfo, "process")
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestTheLevelChangesWhileTheProcessRuns(t *testing.T) {
+func TestLevelCanChangeWhileInUse(t *testing.T) {
 	var out bytes.Buffer
 	logger, setLevel := NewAdjustable(&out, LevelInfo, "process")
 	part := Part(logger, "entry")
@@ -82,6 +82,6 @@
 	setLevel(LevelDebug)
 	_ = level.Debug(part).Log("msg", "second")
 	if text := out.String(); strings.Contains(text, "first") || !strings.Contains(text, "second") || !strings.Contains(text, "part=entry") {
-		t.Fatal(text)
+		t.Fatalf("logged %q; want the second line only, with part=entry", text)
 	}
 }
--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 )
 
-// ringLines is how many lines may wait to be written.
+// ringLines is how many lines may wait to be written. Not measured.
 const ringLines = 2048
 
-// Ring is a writer that never blocks: lines wait in a bounded ring for a goroutine that writes them, and what
-// finds the ring full is dropped and counted.
+// Ring is a writer that never blocks. A goroutine writes the lines to the underlying writer; while ringLines wait for it,
+// further ones are dropped and counted. It is safe for concurrent use.
 type Ring struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -23,7 +23,8 @@
 	stop    chan struct{}
 }
 
-// NewRing returns a ring that writes to out. The clean-up writes what waits and ends the goroutine.
+// NewRing returns a ring that writes to out. The clean-up writes the lines that wait and ends the goroutine; it blocks as
+// long as out does.
 func NewRing(out io.Writer) (*Ring, func()) {
 	r := &Ring{lines: make(chan []byte, ringLines), out: out, stop: make(chan struct{})}
 	r.done.Go(r.run)
@@ -33,7 +34,7 @@
 	}
 }
 
-// Write puts one line in the ring.
+// Write queues one line or drops it. It always returns the length of the line and no error, so that loggers go on.
 func (r *Ring) Write(line []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), line...):
@@ -43,39 +44,43 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that found the ring full.
+// Dropped returns the number of lines that were dropped since the start.
 func (r *Ring) Dropped() int64 {
 	return r.dropped.Load()
 }
 
+// run writes queued lines until the clean-up is called.
 func (r *Ring) run() {
-	var told int64
+	var reported int64
 	for {
 		select {
 		case line := <-r.lines:
-			told = r.write(line, told)
+			reported = r.write(line, reported)
 		case <-r.stop:
-			r.drain(told)
+			r.drain(reported)
 			return
 		}
 	}
 }
 
-// write writes a line, and before it how many were dropped since the last such note.
-func (r *Ring) write(line []byte, told int64) int64 {
-	if dropped := r.dropped.Load(); dropped != told {
-		_, _ = fmt.Fprintf(r.out, "part=log msg=\"lines were dropped\" dropped=%d total=%d\n", dropped-told, dropped)
-		told = dropped
+// write writes a line. If lines were dropped since the last report, it writes their number first. It returns the number of
+// dropped lines that have been reported. Errors of the underlying writer are ignored: the log itself is where they would
+// be reported.
+func (r *Ring) write(line []byte, reported int64) int64 {
+	if dropped := r.dropped.Load(); dropped != reported {
+		_, _ = fmt.Fprintf(r.out, "part=log msg=\"lines were dropped\" dropped=%d total=%d\n", dropped-reported, dropped)
+		reported = dropped
 	}
 	_, _ = r.out.Write(line)
-	return told
+	return reported
 }
 
-func (r *Ring) drain(told int64) {
+// drain writes the lines that wait.
+func (r *Ring) drain(reported int64) {
 	for {
 		select {
 		case line := <-r.lines:
-			told = r.write(line, told)
+			reported = r.write(line, reported)
 		default:
 			return
 		}
--- a/internal/metric/histogram.go
+++ b/internal/metric/histogram.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// longestTime is the largest time that a histogram tells apart.
+	// longestTime is the largest time that a histogram can hold; longer ones are recorded as this. Not measured.
 	longestTime = time.Minute
-	// figures is the number of significant figures of a histogram.
+	// figures is the number of significant decimal digits of a histogram. Not measured; two mean an error of 1 %.
 	figures = 2
-	// maxLabels is how many labels a set of histograms tells apart; further ones share a histogram.
+	// maxLabels is the largest number of labels with a histogram of their own, so that operators who create many kinds
+	// cannot fill the memory. Not measured.
 	maxLabels = 64
-	// otherLabel is the label that further ones share.
+	// otherLabel is the label under which times of all further labels are recorded.
 	otherLabel = "other"
 )
 
-// Times is a set of histograms of times, one for each label, in microseconds.
+// Times is a set of histograms of durations in microseconds, one for each label. It is safe for concurrent use.
 type Times struct {
 	mu         sync.Mutex
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-// NewTimes returns a set without histograms.
+// NewTimes returns an empty set.
 func NewTimes() *Times {
 	return &Times{histograms: make(map[string]*hdrhistogram.Histogram)}
 }
 
-// Record adds a time under a label.
+// Record adds a duration to the histogram of a label. Negative durations count as 0.
 func (t *Times) Record(label string, value time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,10 +47,11 @@
 		h = hdrhistogram.New(1, longestTime.Microseconds(), figures)
 		t.histograms[label] = h
 	}
+	// RecordValue fails on values outside the histogram's range only.
 	_ = h.RecordValue(min(max(value, 0), longestTime).Microseconds())
 }
 
-// summary is what is shown of a histogram.
+// summary is the JSON form of a histogram.
 type summary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_us"`
@@ -57,7 +59,7 @@
 	Max   int64 `json:"max_us"`
 }
 
-// String returns the histograms' figures as JSON; it serves expvar.
+// String returns a summary of each histogram as JSON by label. It implements expvar.Var.
 func (t *Times) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,12 +69,13 @@
 	}
 	data, err := json.Marshal(shown)
 	if err != nil {
+		// Marshal cannot fail on summaries; expvar needs valid JSON in any case.
 		return "{}"
 	}
 	return string(data)
 }
 
-// Times returns the set of histograms of a name, which is shown beside the counters.
+// Times adds a set of histograms under a name, beside the counters, and returns it.
 func (s *Set) Times(name string) *Times {
 	times := NewTimes()
 	s.vars.Set(name, times)
--- a/internal/metric/histogram_test.go
+++ b/internal/metric/histogram_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestTimesAreBoundedAndReadable(t *testing.T) {
+func TestTimesLimitsLabelsAndMarshals(t *testing.T) {
 	set := NewSet()
 	times := set.Times("answer_time")
 	for i := range 2 * maxLabels {
@@ -24,6 +24,6 @@
 	}
 	got := shown["answer_time"]
 	if len(got) != maxLabels+1 || got[otherLabel].Count != maxLabels || got["kind-1"].Count != 3 {
-		t.Fatalf("%d labels, %+v", len(got), got["kind-1"])
+		t.Fatalf("%d labels, want %d; kind-1 is %+v, want a count of 3", len(got), maxLabels+1, got["kind-1"])
 	}
 }
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,17 +1,18 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package metric counts what a process does, by expvar.
+// Package metric holds the counters, gauges and histograms of a process and shows them by expvar. It owns their names,
+// which operators read at the metrics address. All methods are safe for concurrent use and none fails.
 package metric
 
 import "expvar"
 
-// Set holds the counters of one process.
+// Set holds the metrics of one process. Use NewSet; the zero value has no map.
 type Set struct {
 	vars *expvar.Map
 }
 
-// The names of the counters.
+// The names of counters and gauges. Those that end in Prefix are followed by an outcome.
 const (
 	JobsReceived     = "jobs_received"
 	JobsPrefix       = "jobs_"
@@ -38,31 +39,32 @@
 	Commits          = "commits"
 )
 
-// NewSet returns a set of counters that is not published.
+// NewSet returns an empty set. Publish makes it visible.
 func NewSet() *Set {
 	return &Set{vars: new(expvar.Map).Init()}
 }
 
-// Publish shows the set in the process's expvar page under the name; only the first of a name is shown.
+// Publish adds the set to the process's expvar page under a name. A second set of the same name is not shown, as several
+// processes may run in one test.
 func (s *Set) Publish(name string) {
 	if expvar.Get(name) == nil {
 		expvar.Publish(name, s.vars)
 	}
 }
 
-// Add adds to a counter.
+// Add adds delta to a counter, which starts at 0.
 func (s *Set) Add(name string, delta int64) {
 	s.vars.Add(name, delta)
 }
 
-// Set sets a gauge.
+// Set sets a gauge to a value.
 func (s *Set) Set(name string, value int64) {
 	gauge := new(expvar.Int)
 	gauge.Set(value)
 	s.vars.Set(name, gauge)
 }
 
-// Value returns a counter.
+// Value returns the value of a counter or gauge, or 0 if there is none of the name.
 func (s *Set) Value(name string) int64 {
 	if v, ok := s.vars.Get(name).(*expvar.Int); ok {
 		return v.Value()
@@ -70,7 +72,7 @@
 	return 0
 }
 
-// String returns the counters as JSON.
+// String returns all metrics of the set as JSON.
 func (s *Set) String() string {
 	return s.vars.String()
 }
--- a/internal/timeline/logs.go
+++ b/internal/timeline/logs.go
@@ -16,20 +16,21 @@
 
 // Line is one line of a process's log.
 type Line struct {
+	// Time is on the clock of the process.
 	Time    time.Time
 	Process string
 	Message string
-	// Fields are the other fields in their order, without level and part.
+	// Fields are the other fields in their order, except level, part and empty ones.
 	Fields []Field
 }
 
-// Field is a name and a value of a line.
+// Field is one name=value pair of a line.
 type Field struct {
 	Name  string
 	Value string
 }
 
-// Value returns the value of a field; nothing if the line has none of the name.
+// Value returns the value of a field, or empty text if the line has no such field.
 func (l Line) Value(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -39,11 +40,11 @@
 	return ""
 }
 
-// maxLogLine is the longest line that is read, in bytes.
+// maxLogLine is the longest line that can be read, in bytes. Not measured.
 const maxLogLine = 1 << 20
 
-// ReadLogs reads the log lines of any processes. Lines without a time or a process, as other programs may write
-// between them, are passed over.
+// ReadLogs reads log lines, which may be of several processes. Lines without a time or a process are skipped: other
+// programs may write to the same file. It returns an error if in fails or a line is longer than 1 MiB.
 func ReadLogs(in io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLogLine)
@@ -59,6 +60,8 @@
 	return lines, nil
 }
 
+// parseLine parses a line, or returns false if it is no log line of a process. A time that cannot be parsed stays zero and
+// makes it no log line.
 func parseLine(text string) (line Line, ok bool) {
 	decoder := logfmt.NewDecoder(strings.NewReader(text))
 	if !decoder.ScanRecord() {
@@ -81,11 +84,13 @@
 	return line, decoder.Err() == nil && !line.Time.IsZero() && line.Process != ""
 }
 
-// JobMargin is the time before and after a job's own lines in which what its processes believed may tell the cause.
+// JobMargin is how long before and after the lines of a job FollowJob includes lines about the state of processes. Not
+// measured.
 const JobMargin = time.Second
 
-// FollowJob returns, in the order of their clocks, the lines of a job and of its tasks, and what the processes that
-// these name believed about others meanwhile: lines that are about no other job.
+// FollowJob returns the lines about a job and its tasks, ordered by time. It adds lines about the state of processes, such
+// as a lost session, that were written by the processes involved from JobMargin before to JobMargin after. It returns nil
+// if no line names the job.
 func FollowJob(lines []Line, job string) []Line {
 	var own []Line
 	for _, line := range lines {
@@ -100,7 +105,7 @@
 	involved := involvedIn(own, processesOf(lines))
 	from, to := own[0].Time.Add(-JobMargin), own[len(own)-1].Time.Add(JobMargin)
 	for _, line := range lines {
-		if line.isBelief() && !line.Time.Before(from) && !line.Time.After(to) && line.concerns(involved) {
+		if line.isProcessState() && !line.Time.Before(from) && !line.Time.After(to) && line.concerns(involved) {
 			own = append(own, line)
 		}
 	}
@@ -108,7 +113,7 @@
 	return own
 }
 
-// Between returns the lines within a span, in the order of their clocks; a zero time is no bound.
+// Between returns the lines from since to until, ordered by time. A zero time is no bound.
 func Between(lines []Line, since, until time.Time) []Line {
 	var selected []Line
 	for _, line := range lines {
@@ -120,20 +125,22 @@
 	return selected
 }
 
+// sortLines orders lines by time and keeps the order of lines with equal times.
 func sortLines(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// isAbout reports whether a line is of a job or of one of its tasks.
+// isAbout reports whether a line names a job or one of its tasks.
 func (l Line) isAbout(job string) bool {
 	return l.Value("job") == job || strings.HasPrefix(l.Value("task"), job+".") || strings.HasSuffix(l.Value("path"), "/"+job)
 }
 
-// isBelief reports whether a line is about no single request.
-func (l Line) isBelief() bool {
+// isProcessState reports whether a line is about the state of processes, not about a single request.
+func (l Line) isProcessState() bool {
 	return l.Value("job") == "" && l.Value("task") == "" && l.Value("path") == ""
 }
 
+// processesOf returns the processes that wrote lines.
 func processesOf(lines []Line) map[string]bool {
 	processes := make(map[string]bool)
 	for _, line := range lines {
@@ -142,7 +149,7 @@
 	return processes
 }
 
-// involvedIn returns the processes that wrote lines, or whose names are words of their fields.
+// involvedIn returns the processes that wrote lines or whose names are words in their fields.
 func involvedIn(lines []Line, processes map[string]bool) map[string]bool {
 	involved := make(map[string]bool)
 	for _, line := range lines {
@@ -158,7 +165,7 @@
 	return involved
 }
 
-// concerns reports whether a line is of a process that is involved and, if it names an agent, about one that is.
+// concerns reports whether an involved process wrote the line and, if it names an agent, that agent is involved.
 func (l Line) concerns(involved map[string]bool) bool {
 	agent := l.Value("agent")
 	return involved[l.Process] && (agent == "" || involved[agent])
--- a/internal/timeline/logs_test.go
+++ b/internal/timeline/logs_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 	if got := FollowJob(lines, "cc"); got != nil {
-		t.Errorf("an unknown job has lines %v", got)
+		t.Errorf("FollowJob of an unknown job returned %v", got)
 	}
 }
 
@@ -57,6 +57,6 @@
 	since := time.Date(2026, 8, 25, 20, 37, 2, 0, time.UTC)
 	selected := Between(lines, since, since.Add(time.Second))
 	if len(selected) != 4 || selected[0].Value("agent") != "agent-2" || selected[3].Message != "answered" {
-		t.Errorf("got %v", selected)
+		t.Errorf("Between returned %v; want the four lines from agent_down to answered", selected)
 	}
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,7 +1,9 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package timeline keeps the latest events of a process, so that operators can see what happened over all of them.
+// Package timeline orders what happened over several processes, for operators. It has two sources: on the users' platform
+// the log files of processes, read by ReadLogs and FollowJob; on sailhead's own interface the latest events of each
+// running process, which it owns in a Ring. A process that has died has no ring; its log files remain.
 package timeline
 
 import (
@@ -9,7 +11,7 @@
 	"time"
 )
 
-// Kind says what an event is.
+// Kind is the kind of an event.
 type Kind string
 
 // The kinds of events.
@@ -38,19 +40,24 @@
 // NoTask is the index of an event that concerns no single task.
 const NoTask = -1
 
-// Event is one thing that happened at a process.
+// Event is one thing that happened at a process. Empty fields do not apply.
 type Event struct {
-	Time       time.Time
-	Process    string
-	Kind       Kind
-	Trace      string
+	// Time and Process are set by Ring.Add; Time is on the clock of the process.
+	Time    time.Time
+	Process string
+	Kind    Kind
+	// Trace identifies one delivery of a submission across processes.
+	Trace string
+	// Submission is the key of the submission.
 	Submission string
-	Task       int
-	Worker     string
-	Detail     string
+	// Task is the index of the task in the submission, or NoTask.
+	Task   int
+	Worker string
+	// Detail is free text for the operator.
+	Detail string
 }
 
-// Filter selects events; an empty part selects all.
+// Filter selects events. An empty field selects all; a zero time is no bound, other bounds are inclusive.
 type Filter struct {
 	Submission string
 	Worker     string
@@ -79,17 +86,19 @@
 	mu      sync.Mutex
 	process string
 	events  []Event
-	next    int
+	// next is the index of the oldest event once the ring is full, which the next event replaces.
+	next int
+	// dropped is the number of events that were replaced.
 	dropped uint64
 	now     func() time.Time
 }
 
-// NewRing returns an empty ring for so many events.
+// NewRing returns an empty ring that holds up to size events.
 func NewRing(process string, size int, now func() time.Time) *Ring {
 	return &Ring{process: process, events: make([]Event, 0, size), now: now}
 }
 
-// Add records an event; its time and process are filled in.
+// Add stores an event with the current time and the ring's process. A full ring drops its oldest event.
 func (r *Ring) Add(e Event) {
 	e.Time = r.now()
 	e.Process = r.process
@@ -104,7 +113,7 @@
 	r.dropped++
 }
 
-// Select returns the events that match, the oldest first, and how many have been overwritten.
+// Select returns the events that match, the oldest first, and the number of events that were dropped since the start.
 func (r *Ring) Select(filter Filter) ([]Event, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestRingKeepsTheLatestAndCountsTheOthers(t *testing.T) {
+func TestRingKeepsLatestEvents(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	ring := NewRing("p", 3, func() time.Time { now = now.Add(time.Second); return now })
 	for i := range 5 {
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -4,5 +4,5 @@
 // Package version holds the version of the binary.
 package version
 
-// Version is set by the linker for a release.
+// Version is what sailhead --version prints. make build sets it by the linker; "dev" is a build without it.
 var Version = "dev"
