--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -4,7 +4,6 @@
 package cli
 
 import (
-	"context"
 	"net"
 	"os"
 	"os/signal"
@@ -99,17 +98,6 @@
 	return listeners, nil
 }
 
-const (
-	// balancerDelay is how long after the start of a planned stop the balancer may send new connections: it asks
-	// every second, and misses twice.
-	balancerDelay = 2300 * time.Millisecond
-	// quietTime is how long no connection has come once the balancer sends none.
-	quietTime = 250 * time.Millisecond
-	// answerTime is how long the last open requests may take to be answered.
-	answerTime = 250 * time.Millisecond
-	pollPause  = 20 * time.Millisecond
-)
-
 func startPlatformEntry(s settings.Settings, logger log.Logger, metrics *metric.Set) (onPlatform, error) {
 	listeners, err := listen(s.CallerAddress, s.ReadyAddress, s.PeerAddress)
 	if err != nil {
@@ -117,24 +105,25 @@
 	}
 	store, closeStore := platform.NewStore(string(s.PlatformAddress))
 	configurations := &platform.Configurations{}
-	entry, closeEntry := entry.New(entry.Settings{
+	e, closeEntry := entry.New(entry.Settings{
 		Name: s.Name, Zone: s.Zone, Peers: listeners[2], Seeds: s.SeedAddresses(), StopTimeout: s.StopTimeout, Ring: s.Ring, Jobs: s.Jobs,
 		Durable: platform.NewDurableJobs(store), StoreWrites: s.StoreWrites,
 	}, configurations, platform.NewStoreWatcher(store), logger, metrics)
-	closeReady := platform.NewReadiness(listeners[1], entry)
-	ingress := platform.NewIngress(listeners[0], configurations.Current, entry, logger)
-	return onPlatform{setSeeds: entry.SetSeeds, stop: func() error {
-		err := stopEntry(entry, ingress)
+	closeReady := platform.NewReadiness(listeners[1], e)
+	ingress := platform.NewIngress(listeners[0], configurations.Current, e, logger)
+	return onPlatform{setSeeds: e.SetSeeds, stop: func() error {
+		err := e.Shutdown(ingress)
 		closeWithin(closeTime, closeReady, closeEntry, closeStore)
 		return err
 	}}, nil
 }
 
-// closeTime is how long the last clean-ups of a planned stop may take: a call to a store that does not answer is not
-// waited for, as the process ends anyway.
+// closeTime is how long the clean-ups after a shutdown may take. A call to a store that does not answer would take longer,
+// and the process ends anyway. Not measured.
 const closeTime = 150 * time.Millisecond
 
-// closeWithin runs clean-ups in order and waits for them up to a time.
+// closeWithin runs clean-ups in order and returns when they are done or the limit is over. Clean-ups that are left then go
+// on in the background.
 func closeWithin(limit time.Duration, cleanups ...func()) {
 	done := make(chan struct{})
 	go func() {
@@ -148,22 +137,3 @@
 	case <-time.After(limit):
 	}
 }
-
-// stopEntry stops an entry as planned: every request that arrives is answered. Once the balancer sends no more
-// connections and no job is under way there is no reason to wait. Where no entry is ready the balancer goes on
-// sending, and this one goes on serving to the end.
-func stopEntry(entry *entry.Entry, ingress *platform.Ingress) error {
-	until := entry.BeginShutdown()
-	time.Sleep(min(balancerDelay, time.Until(until)))
-	for ingress.SinceConnection() < quietTime && time.Now().Before(until) {
-		time.Sleep(pollPause)
-	}
-	ingress.StopListening()
-	ingress.CloseIdle()
-	for !entry.IsIdle() && time.Now().Before(until) {
-		time.Sleep(pollPause)
-	}
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(answerTime))
-	defer cancel()
-	return ingress.Shutdown(ctx)
-}
