--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -42,6 +42,7 @@
 		return err
 	}
 	defer closeMetrics()
+
 	p, err := startOnPlatform(loaded, logger, metrics)
 	if err != nil {
 		_ = level.Error(logger).Log("msg", "unable to start", "err", err)
@@ -54,10 +55,11 @@
 		}
 		reloaded, err := settings.LoadFor(path, role)
 		_ = level.Info(logger).Log("msg", "settings read again", "err", err)
-		if err == nil {
-			setLevel(logging.Level(reloaded.LogLevel))
-			p.setSeeds(reloaded.SeedAddresses())
+		if err != nil {
+			continue
 		}
+		setLevel(logging.Level(reloaded.LogLevel))
+		p.setSeeds(reloaded.SeedAddresses())
 	}
 	return p.stop()
 }
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -27,11 +27,8 @@
 }
 
 func (c *timelineCommand) run(s streams) error {
-	if c.Job != "" && len(c.Logs) == 0 {
-		return errors.New("cli: --job needs log files")
-	}
-	if len(c.Logs) > 0 && (c.Submission != "" || c.Worker != "") {
-		return errors.New("cli: --submission and --worker ask running processes; with log files use --job")
+	if err := c.checkOptions(); err != nil {
+		return err
 	}
 	now := time.Now()
 	since, err := parseTime("--since", c.Since, now)
@@ -45,6 +42,22 @@
 	if len(c.Logs) > 0 {
 		return c.mergeLogs(s, since, until)
 	}
+	return c.askProcesses(s, since, until)
+}
+
+// checkOptions returns an error if options are combined that do not go together.
+func (c *timelineCommand) checkOptions() error {
+	if c.Job != "" && len(c.Logs) == 0 {
+		return errors.New("cli: --job needs log files")
+	}
+	if len(c.Logs) > 0 && (c.Submission != "" || c.Worker != "") {
+		return errors.New("cli: --submission and --worker ask running processes; with log files use --job")
+	}
+	return nil
+}
+
+// askProcesses prints the events that running processes remember.
+func (c *timelineCommand) askProcesses(s streams, since, until time.Time) error {
 	session, cleanup, err := c.open()
 	if err != nil {
 		return err
--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -9,6 +9,8 @@
 	"io"
 	"strings"
 	"time"
+
+	"github.com/go-faster/errors"
 )
 
 // Dump writes the settings as a settings file that Load accepts, with the help and the range of each option as a
@@ -23,7 +25,7 @@
 		fmt.Fprintf(&text, "  // %s%s\n", option.Help, option.limits())
 		value, err := json.Marshal(option.literal(&s))
 		if err != nil {
-			return fmt.Errorf("settings: unable to dump %s: %w", option.Name, err)
+			return errors.Wrapf(err, "settings: unable to dump %s", option.Name)
 		}
 		fmt.Fprintf(&text, "  %q: %s,\n", option.Name, value)
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -109,7 +109,7 @@
 func (f *file) parse() (*hujson.Object, error) {
 	value, err := hujson.Parse(f.data)
 	if err != nil {
-		return nil, errors.Errorf("settings: %s: %s", f.path, err)
+		return nil, errors.Wrapf(err, "settings: %s", f.path)
 	}
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
