--- a/internal/cli/platformagent.go
+++ b/internal/cli/platformagent.go
@@ -24,7 +24,7 @@
 	worker, closeWorker := platform.NewWorker(string(s.BackendAddress))
 	agent, closeAgent := agent.New(agent.Settings{
 		Name: s.Name, Zone: s.Zone, Sessions: sessions, Seeds: s.SeedAddresses(),
-		Limits: runner.DefaultLimits(s.HoldTime, s.StopTime), StopTimeout: s.StopTimeout, Ring: s.Ring,
+		Limits: runner.DefaultLimits(s.MaxWorkerLease, s.StopTime), StopTimeout: s.StopTimeout, Ring: s.Ring,
 	}, worker, platform.NewStoreWatcher(store), logger, metrics)
 	closeHeartbeats := platform.NewHeartbeats(heartbeats, agent)
 	return onPlatform{setSeeds: agent.SetSeeds, stop: func() error {
--- a/internal/settings/option.go
+++ b/internal/settings/option.go
@@ -47,11 +47,14 @@
 	backend         = []Role{RoleBackendStandin}
 )
 
-// Options returns all options in the order in which dump-settings prints them.
+// Options returns all options in the order in which dump-settings prints them. The defaults and ranges were not measured,
+// except where a comment names a source. On the users' platform the deploy file replaces the defaults of stop_timeout,
+// hold_time, stop_time and store_writes by the platform's own bounds (grace_s, hold_max_ms, stop_ms, writes_per_s).
 func Options() []Option {
 	return slices.Concat(commonOptions(), entryOptions(), agentOptions(), platformOptions(), standinOptions())
 }
 
+// commonOptions returns the options of several roles.
 func commonOptions() []Option {
 	return []Option{
 		{Name: "name", Help: "Name of the process; for an agent the name of its worker.", Default: "", IsRequired: true,
@@ -93,6 +96,7 @@
 	}
 }
 
+// entryOptions returns the options of entries, most of them for sailhead's own interface only.
 func entryOptions() []Option {
 	return []Option{
 		{Name: "caller_address", Help: "Address at which callers reach the entry.", Roles: allEntries, Default: Address("127.0.0.1:7500"),
@@ -115,6 +119,7 @@
 	}
 }
 
+// agentOptions returns the options of agents, most of them for sailhead's own interface only.
 func agentOptions() []Option {
 	return []Option{
 		{Name: "backend_address", Help: "Address of the backend server.", Roles: allAgents, IsRequired: true, Default: Address(""),
@@ -144,6 +149,7 @@
 	}
 }
 
+// platformOptions returns the options of processes on the users' platform only.
 func platformOptions() []Option {
 	return []Option{
 		{Name: "ready_address", Help: "Address at which the balancer asks whether the entry takes jobs.", Roles: platformEntries, IsRequired: true, Default: Address(""),
@@ -156,7 +162,7 @@
 			value: func(s *Settings) any { return &s.HeartbeatAddress }},
 		{Name: "hold_time", Help: "Longest lease that the worker grants.", Roles: platformAgents,
 			Default: time.Second, Min: 200 * time.Millisecond, Max: time.Hour,
-			value: func(s *Settings) any { return &s.HoldTime }},
+			value: func(s *Settings) any { return &s.MaxWorkerLease }},
 		{Name: "stop_time", Help: "Longest time that the worker takes to stop a run.", Roles: platformAgents,
 			Default: 50 * time.Millisecond, Min: time.Millisecond, Max: time.Minute,
 			value: func(s *Settings) any { return &s.StopTime }},
@@ -165,6 +171,7 @@
 	}
 }
 
+// standinOptions returns the options of the stand-ins.
 func standinOptions() []Option {
 	return []Option{
 		{Name: "listen_address", Help: "Address at which the stand-in listens.", Roles: servers, IsRequired: true, Default: Address(""),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -61,6 +61,7 @@
 	Zone     string
 	LogLevel string
 
+	// Of processes of several roles.
 	PlatformAddress Address
 	PlatformTimeout time.Duration
 	PeerAddress     Address
@@ -71,8 +72,10 @@
 	TimelineEvents  int
 	Ring            int
 	Window          time.Duration
-	Skew            time.Duration
+	// Skew is the option clock_skew.
+	Skew time.Duration
 
+	// Of entries; CallerAddress of both kinds.
 	CallerAddress  Address
 	MaxBody        Size
 	MaxConnections int
@@ -81,6 +84,7 @@
 	ListInterval   time.Duration
 	ListLag        time.Duration
 
+	// Of agents; BackendAddress of both kinds.
 	BackendAddress Address
 	BackendTimeout time.Duration
 	Slots          int
@@ -93,14 +97,17 @@
 	Bounces        int
 	BounceWait     time.Duration
 
+	// Of processes on the users' platform.
 	ReadyAddress     Address
 	HeartbeatAddress Address
 	MetricsAddress   Address
 	Jobs             int
 	StoreWrites      int
-	HoldTime         time.Duration
-	StopTime         time.Duration
+	// MaxWorkerLease is the option hold_time.
+	MaxWorkerLease time.Duration
+	StopTime       time.Duration
 
+	// Of the stand-ins.
 	ListenAddress  Address
 	ServiceTimeMin time.Duration
 	ServiceTimeMax time.Duration
