--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -9,9 +9,12 @@
 	"io"
 	"strings"
 	"time"
+
+	"github.com/go-faster/errors"
 )
 
-// Dump writes the settings in force as a settings file, with the help and the range of each option.
+// Dump writes the settings as a settings file that Load accepts, with the help and the range of each option as a
+// comment. It returns the error of the writer.
 func (s Settings) Dump(out io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "{\n  %q: %q,\n", nameOfRoleOption, s.Role)
@@ -22,7 +25,7 @@
 		fmt.Fprintf(&text, "  // %s%s\n", option.Help, option.limits())
 		value, err := json.Marshal(option.literal(&s))
 		if err != nil {
-			return fmt.Errorf("settings: unable to dump %s: %w", option.Name, err)
+			return errors.Wrapf(err, "settings: unable to dump %s", option.Name)
 		}
 		fmt.Fprintf(&text, "  %q: %s,\n", option.Name, value)
 	}
@@ -31,7 +34,7 @@
 	return err
 }
 
-// literal returns the option's value as it stands in a settings file.
+// literal returns the value of the option in the form of a settings file, ready for encoding/json.
 func (o Option) literal(s *Settings) any {
 	switch place := o.value(s).(type) {
 	case *time.Duration:
@@ -48,7 +51,7 @@
 	}
 }
 
-// limits describes what values the option takes.
+// limits describes the values that the option accepts, as the end of its help text.
 func (o Option) limits() string {
 	switch {
 	case len(o.Choices) > 0:
