--- /dev/null
+++ b/internal/agent/call.go
@@ -0,0 +1,34 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package agent
+
+import (
+	"time"
+
+	"sailhead/internal/runner"
+	"sailhead/internal/worker"
+)
+
+// callStart starts a run, unless the lease of the entry's session has expired before the call is made: the goroutine may
+// have been delayed, and the entry may run the task elsewhere after that.
+func (a *Agent) callStart(e runner.CallStart) {
+	var result worker.StartResult = worker.Invalid{Reason: "the session ended before the start"}
+	if now := time.Now(); !now.After(e.Before) {
+		result = a.worker.Start(e.Incarnation, e.Start)
+		a.runs.startAnswered(result, time.Since(now))
+	}
+	a.post(runner.StartAnswered{Incarnation: e.Incarnation, Name: e.Start.Name, Run: e.Start.Run, Result: result})
+}
+
+func (a *Agent) callStop(e runner.CallStop) {
+	result := a.worker.Stop(e.Incarnation, e.Stop)
+	a.post(runner.StopAnswered{Incarnation: e.Incarnation, Name: e.Stop.Name, Run: e.Stop.Run, Result: result})
+}
+
+// callRenew renews the leases. sent is when the runner asked for it, which is no later than the call: a listing must not
+// be taken for newer than it is.
+func (a *Agent) callRenew(e runner.CallRenew, sent time.Time) {
+	result := a.worker.Renew(e.Incarnation, e.Renew)
+	a.post(runner.RenewAnswered{Incarnation: e.Incarnation, Sent: sent, LongPoll: e.Renew.Wait > 0, Result: result})
+}
--- /dev/null
+++ b/internal/agent/log.go
@@ -0,0 +1,97 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package agent
+
+import (
+	"github.com/go-kit/log/level"
+
+	"sailhead/internal/runner"
+	"sailhead/internal/worker"
+)
+
+// logEvent logs an event that changes what the agent knows of sessions and of the worker, and failed calls. The
+// messages are quoted in docs/OPERATIONS.md.
+func (a *Agent) logEvent(event runner.Event) {
+	switch e := event.(type) {
+	case runner.SessionOpened:
+		_ = level.Info(a.logger).Log("msg", "session opened", "session", e.Session, "entry", e.Entry)
+	case runner.SessionClosed:
+		_ = level.Info(a.logger).Log("msg", "session closed", "session", e.Session)
+	case runner.HeartbeatReceived:
+		a.logHeartbeat(e.Record)
+	case runner.WorkerLeft:
+		_ = level.Info(a.logger).Log("msg", "worker left", "life", e.ID)
+	case runner.StartAnswered:
+		a.logRejected("start not accepted", e.Name, e.Run, e.Result)
+	case runner.StopAnswered:
+		a.logRejected("stop not accepted", e.Name, e.Run, e.Result)
+	case runner.RenewAnswered:
+		a.logRenewal(e)
+	}
+}
+
+// logHeartbeat logs the first heartbeat of an incarnation and each change between draining and not.
+func (a *Agent) logHeartbeat(record worker.Record) {
+	known, ok := a.runner.Worker()
+	if ok && known.ID == record.ID && known.Draining == record.Draining {
+		return
+	}
+	_ = level.Info(a.logger).Log("msg", "worker", "life", record.ID, "draining", record.Draining, "cpu", record.Capacity.CPU)
+}
+
+// logRejected logs a start or a stop that the worker has not accepted.
+func (a *Agent) logRejected(message, task string, run uint32, result worker.Result) {
+	if _, accepted := result.(worker.Accepted); accepted {
+		return
+	}
+	_ = level.Info(a.logger).Log("msg", message, "task", task, "run", run, "answer", describe(result))
+}
+
+// logRenewal logs a renewal that brought no listing.
+func (a *Agent) logRenewal(e runner.RenewAnswered) {
+	if _, isListing := e.Result.(worker.Listing); isListing {
+		return
+	}
+	_ = level.Info(a.logger).Log("msg", "hold not answered", "life", e.Incarnation, "waited", e.LongPoll, "answer", describe(e.Result))
+}
+
+// logUpdate logs the end of a run, unless it is done.
+func (a *Agent) logUpdate(u runner.Update) {
+	if u.Outcome == runner.OutcomeDone || u.Outcome == runner.OutcomeStarted {
+		return
+	}
+	_ = level.Info(a.logger).Log("msg", "run", "task", u.Name, "run", u.Run, "outcome", u.Outcome, "reason", u.Reason)
+}
+
+// logClose logs why the agent closes a session.
+func (a *Agent) logClose(e runner.CloseSession) {
+	_ = level.Info(a.logger).Log("msg", "closing session", "session", e.Session, "reason", e.Reason)
+}
+
+// describe returns the name of a result, followed by its reason if it has one. The names are values of log fields and
+// labels of the metric start_time, and keep their form.
+func describe(result worker.Result) string {
+	switch r := result.(type) {
+	case worker.Fenced:
+		return "fenced"
+	case worker.Outdated:
+		return "outdated"
+	case worker.TooLate:
+		return "too_late"
+	case worker.InsufficientResources:
+		return "no_room"
+	case worker.Unhealthy:
+		return "unhealthy"
+	case worker.WrongIncarnation:
+		return "other_life"
+	case worker.Invalid:
+		return "invalid: " + r.Reason
+	case worker.NotReached:
+		return "not_reached: " + r.Reason
+	case worker.Unanswered:
+		return "unanswered: " + r.Reason
+	default:
+		return "accepted"
+	}
+}
--- a/internal/session/agent.go
+++ b/internal/session/agent.go
@@ -4,67 +4,116 @@
 package session
 
 import (
+	"io"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-faster/errors"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"sailhead/internal/logging"
 	"sailhead/internal/runner"
 	"sailhead/internal/session/sessionpb"
 )
 
-// Server is the agent's end of all its sessions.
+// failuresPerSecond bounds the log lines about sessions that failed. Not measured.
+const failuresPerSecond = 5
+
+// Server is the agent's end of all its sessions. It is safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	post     func(runner.Event)
-	// incarnation is that of the agent's process, as entries know it.
+	logger   log.Logger
+	// incarnation identifies the agent's process. It goes to the entries with each ping.
 	incarnation int64
 	// started is the origin of the times in pings.
 	started time.Time
-	next    atomic.Uint64
-	mu      sync.Mutex
-	open    map[runner.SessionID]*connection
+	// lastID is the ID of the latest session.
+	lastID atomic.Uint64
+	mu     sync.Mutex
+	open   map[runner.SessionID]*connection
 }
 
-// NewServer takes sessions on the listener for a process of an incarnation and posts what entries say as events. The
-// clean-up ends all sessions.
-func NewServer(listener net.Listener, incarnation int64, post func(runner.Event)) (*Server, func()) {
-	s := &Server{listener: listener, post: post, incarnation: incarnation, started: time.Now(), open: make(map[runner.SessionID]*connection)}
+// NewServer accepts sessions on the listener and passes the entries' messages to post as events; those of one session are
+// posted in order. incarnation identifies the agent's process. The clean-up closes the listener and all sessions.
+func NewServer(listener net.Listener, incarnation int64, post func(runner.Event), logger log.Logger) (*Server, func()) {
+	s := &Server{
+		listener: listener, post: post, logger: logging.NewLimited(logger, failuresPerSecond),
+		incarnation: incarnation, started: time.Now(), open: make(map[runner.SessionID]*connection),
+	}
 	go s.accept()
 	return s, s.close
 }
 
+// accept serves the sessions that entries open until the listener fails or is closed.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
+			s.logAcceptError(err)
 			return
 		}
 		go s.serve(newConnection(conn))
 	}
 }
 
+func (s *Server) logAcceptError(err error) {
+	if !errors.Is(err, net.ErrClosed) {
+		_ = level.Error(s.logger).Log("msg", "unable to accept sessions", "address", s.listener.Addr(), "err", err)
+	}
+}
+
 func (s *Server) close() {
+	// The listener may have been closed before, and the process is stopping.
 	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.open {
-		c.close()
+		c.close(errClosed)
 	}
 }
 
+// serve posts the messages of one session as events, and then its end.
 func (s *Server) serve(c *connection) {
-	id := runner.SessionID(s.next.Add(1))
+	id := runner.SessionID(s.lastID.Add(1))
+	s.add(id, c)
+	err := read(c, func(m *sessionpb.FromEntry) { s.handle(id, m) })
+	s.remove(id)
+	s.logEnd(id, err)
+	s.post(runner.SessionClosed{Session: id})
+}
+
+// logEnd logs why a session failed. A session that either end closed in order is not a failure.
+func (s *Server) logEnd(id runner.SessionID, err error) {
+	if errors.Is(err, io.EOF) || errors.Is(err, errClosed) {
+		return
+	}
+	_ = level.Info(s.logger).Log("msg", "session failed", "session", id, "err", err)
+}
+
+func (s *Server) add(id runner.SessionID, c *connection) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.open[id] = c
-	s.mu.Unlock()
-	_ = read(c, func(m *sessionpb.FromEntry) { s.handle(id, m) })
+}
+
+func (s *Server) remove(id runner.SessionID) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	delete(s.open, id)
-	s.mu.Unlock()
-	s.post(runner.SessionClosed{Session: id})
 }
 
+// connection returns the connection of a session, or nil if it has ended.
+func (s *Server) connection(id runner.SessionID) *connection {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.open[id]
+}
+
+// handle posts a message of an entry as an event. Messages that this version does not know are ignored.
 func (s *Server) handle(id runner.SessionID, m *sessionpb.FromEntry) {
 	switch message := m.Message.(type) {
 	case *sessionpb.FromEntry_Hello:
@@ -80,12 +129,12 @@
 	}
 }
 
-// Send sends an effect to its entry; effects of other kinds are left alone.
+// Send carries out an effect that concerns a session: it queues the message or closes the connection. It does not block.
+// Effects on sessions that have ended, and those that concern the worker, are ignored.
 func (s *Server) Send(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.SendPing:
-		ping := &sessionpb.Ping{Time: int64(e.Time.Sub(s.started)), Incarnation: s.incarnation}
-		s.send(e.Session, &sessionpb.FromAgent{Message: &sessionpb.FromAgent_Ping{Ping: ping}})
+		s.send(e.Session, s.packPing(e.Time))
 	case runner.SendWorker:
 		s.send(e.Session, packWorker(e.Record))
 	case runner.SendLoad:
@@ -94,7 +143,7 @@
 		s.send(e.Session, packUpdate(e.Update))
 	case runner.CloseSession:
 		if c := s.connection(e.Session); c != nil {
-			c.close()
+			c.close(errClosed)
 		}
 	}
 }
@@ -105,8 +154,7 @@
 	}
 }
 
-func (s *Server) connection(id runner.SessionID) *connection {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.open[id]
+func (s *Server) packPing(sent time.Time) *sessionpb.FromAgent {
+	ping := &sessionpb.Ping{Time: int64(sent.Sub(s.started)), Incarnation: s.incarnation}
+	return &sessionpb.FromAgent{Message: &sessionpb.FromAgent_Ping{Ping: ping}}
 }
--- a/internal/session/convert.go
+++ b/internal/session/convert.go
@@ -12,13 +12,15 @@
 	"sailhead/internal/worker"
 )
 
-// hundred turns shares into hundredths.
+// hundred converts a factor or share to and from the hundredths on the wire.
 const hundred = 100
 
+// count returns n as it is on the wire; a value out of range is set to the nearest one.
 func count(n int) uint32 {
 	return uint32(max(0, min(n, math.MaxUint32)))
 }
 
+// millis returns a duration as it is on the wire; parts of a millisecond are dropped.
 func millis(d time.Duration) uint32 {
 	return count(int(d.Milliseconds()))
 }
@@ -31,7 +33,8 @@
 	return &sessionpb.FromEntry{Message: &sessionpb.FromEntry_Start{Start: &sessionpb.Start{
 		Number: number, Task: t.Name, Run: t.Run, Payload: t.Payload,
 		Cpu: count(t.Needs.CPU), Memory: count(t.Needs.Memory), Gpu: count(t.Needs.GPU),
-		Checkpoint: t.Checkpoint, WaitMs: millis(t.MaxWait), ExpectedMs: millis(t.Expected), Priority: count(t.Priority), Kept: t.IsDurable,
+		Checkpoint: t.Checkpoint, WaitMs: millis(t.MaxWait), ExpectedMs: millis(t.Expected),
+		Priority: count(t.Priority), Kept: t.IsDurable,
 	}}}
 }
 
@@ -43,6 +46,7 @@
 	}
 }
 
+// packWorker leaves out the record's clock, sequence and state: entries learn from the load whether it accepts tasks.
 func packWorker(r worker.Record) *sessionpb.FromAgent {
 	return &sessionpb.FromAgent{Message: &sessionpb.FromAgent_Worker{Worker: &sessionpb.Worker{
 		Id: r.ID, Service: r.Service, Zone: r.Zone, Labels: r.Labels,
--- a/internal/session/entry.go
+++ b/internal/session/entry.go
@@ -15,26 +15,31 @@
 	"sailhead/internal/worker"
 )
 
-// dialTimeout bounds the opening of a connection.
+// dialTimeout bounds the opening of a connection. Not measured.
 const dialTimeout = 250 * time.Millisecond
 
-// AgentHandler hears what an agent says on a session.
+// AgentHandler receives the messages of an agent on a session, from one goroutine and in order.
 type AgentHandler interface {
-	// MessageReceived is called for every message before the others.
+	// MessageReceived is called for every message, before the method for its type.
 	MessageReceived()
-	// Incarnation tells which process of the agent the session is with.
+	// Incarnation is called with each ping; the value identifies the agent's process.
 	Incarnation(int64)
+	// Worker is called with the record of the agent's worker when the session opens and when the record changes.
 	Worker(worker.Record)
+	// Load is called with the load of the worker. It includes the starts of the session up to the number handled.
 	Load(handled uint64, load runner.Load)
+	// Update is called with the state of a run.
 	Update(runner.Update)
 }
 
-// AgentConn is an entry's end of a session.
+// AgentConn is an entry's end of a session. Its methods do not block, except Serve, and are safe for concurrent use.
+// What is sent after the session has ended is dropped.
 type AgentConn struct {
 	connection *connection
 }
 
-// Dial opens a session with an agent in the name of an entry.
+// Dial opens a session with the agent at an address, HOST:PORT, for the entry of the given name. It returns an error if
+// the connection is not open within 250 ms.
 func Dial(ctx context.Context, address, entry string) (*AgentConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -46,40 +51,47 @@
 	return s, nil
 }
 
-// Serve hands what the agent says to the handler until the session ends. Pings are echoed here.
+// Serve passes the agent's messages to the handler and answers its pings until the session ends. It always returns an
+// error: the reason for the end.
 func (s *AgentConn) Serve(handler AgentHandler) error {
 	return read(s.connection, func(m *sessionpb.FromAgent) {
 		handler.MessageReceived()
-		switch message := m.Message.(type) {
-		case *sessionpb.FromAgent_Ping:
-			handler.Incarnation(message.Ping.Incarnation)
-			s.connection.send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Pong{Pong: &sessionpb.Pong{Time: message.Ping.Time}}})
-		case *sessionpb.FromAgent_Worker:
-			handler.Worker(unpackWorker(message.Worker))
-		case *sessionpb.FromAgent_Load:
-			handler.Load(message.Load.Handled, unpackLoad(message.Load))
-		case *sessionpb.FromAgent_Update:
-			handler.Update(unpackUpdate(message.Update))
-		}
+		s.handle(handler, m)
 	})
 }
 
-// Start asks the agent to run a task; number counts the starts of the session.
+// handle passes a message to the handler. Messages that this version does not know are ignored.
+func (s *AgentConn) handle(handler AgentHandler, m *sessionpb.FromAgent) {
+	switch message := m.Message.(type) {
+	case *sessionpb.FromAgent_Ping:
+		handler.Incarnation(message.Ping.Incarnation)
+		s.connection.send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Pong{Pong: &sessionpb.Pong{Time: message.Ping.Time}}})
+	case *sessionpb.FromAgent_Worker:
+		handler.Worker(unpackWorker(message.Worker))
+	case *sessionpb.FromAgent_Load:
+		handler.Load(message.Load.Handled, unpackLoad(message.Load))
+	case *sessionpb.FromAgent_Update:
+		handler.Update(unpackUpdate(message.Update))
+	}
+}
+
+// Start requests a run of a task. number counts the starts of the session from one.
 func (s *AgentConn) Start(number uint64, task runner.Task) {
 	s.connection.send(packStart(number, task))
 }
 
-// Stop asks the agent to end a task.
+// Stop requests the stop of a task, whether it is queued or running.
 func (s *AgentConn) Stop(name string) {
 	s.connection.send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Stop{Stop: &sessionpb.Stop{Task: name}}})
 }
 
-// AcknowledgeEnd tells the agent that the end of a run is kept.
+// AcknowledgeEnd reports to the agent that the end of a run has been recorded in the store.
 func (s *AgentConn) AcknowledgeEnd(name string, run uint32) {
-	s.connection.send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Noted{Noted: &sessionpb.Noted{Task: name, Run: run}}})
+	acknowledgement := &sessionpb.EndAcknowledgement{Task: name, Run: run}
+	s.connection.send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Noted{Noted: acknowledgement}})
 }
 
-// Close ends the session at once.
+// Close closes the session without sending the messages that wait.
 func (s *AgentConn) Close() {
-	s.connection.close()
+	s.connection.close(errClosed)
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -13,6 +13,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"sailhead/internal/logging"
 	"sailhead/internal/runner"
 	"sailhead/internal/session/sessionpb"
 	"sailhead/internal/worker"
@@ -50,7 +51,7 @@
 		t.Fatal(err)
 	}
 	events := make(chan runner.Event, 100)
-	server, closeServer := NewServer(listener, 77, func(e runner.Event) { events <- e })
+	server, closeServer := NewServer(listener, 77, func(e runner.Event) { events <- e }, logging.Discard())
 	t.Cleanup(closeServer)
 	entry, err := Dial(context.Background(), listener.Addr().String(), "entry-1")
 	if err != nil {
--- a/internal/session/sessionpb/generate.sh
+++ b/internal/session/sessionpb/generate.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # SPDX-License-Identifier: MIT
-# generate.sh writes session.pb.go into the folder given, or beside itself.
+# generate.sh writes session.pb.go into the given folder, or beside itself.
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 out=${1:-$here}
