--- a/internal/runner/fakeworker_test.go
+++ b/internal/runner/fakeworker_test.go
@@ -16,28 +16,30 @@
 	run   uint32
 	ends  time.Time
 	fails bool
-	// stopping is when a stop takes effect; zero if none was asked.
+	// stopping is when a stop takes effect, or zero without one.
 	stopping time.Time
-	until    time.Duration
+	// until is the end of the lease on the worker's clock.
+	until time.Duration
 }
 
-// fakeWorker is a worker as the users' page describes it, on virtual time.
+// fakeWorker is a worker that behaves as the platform's description says, on virtual time.
 type fakeWorker struct {
 	id       string
 	capacity worker.Resources
 	origin   time.Time
-	hold     time.Duration
+	// maxLease is the longest lease that is granted.
+	maxLease time.Duration
 	stopTime time.Duration
 	fence    uint64
 	runs     map[string]*fakeRun
 	needs    func(name string) worker.Resources
-	// hidesStopping leaves a run out of the listing from its stop on, though it goes on until its end is listed.
+	// hidesStopping leaves a run out of the listing from its stop until its end is listed.
 	hidesStopping bool
 	// highest is the highest run of each task that was stopped or has ended.
 	highest map[string]uint32
 	ends    []worker.End
 	number  uint64
-	// begun counts the runs of each task, and done those that ended well.
+	// begun counts the runs of each task, and done those that are done.
 	begun map[string]int
 	done  map[string]int
 	last  time.Time
@@ -45,7 +47,7 @@
 
 func newFakeWorker(id string, origin time.Time, capacity worker.Resources, needs func(string) worker.Resources) *fakeWorker {
 	return &fakeWorker{
-		id: id, capacity: capacity, origin: origin, hold: time.Second, stopTime: 50 * time.Millisecond, needs: needs,
+		id: id, capacity: capacity, origin: origin, maxLease: time.Second, stopTime: 50 * time.Millisecond, needs: needs,
 		runs: make(map[string]*fakeRun), highest: make(map[string]uint32), begun: make(map[string]int), done: make(map[string]int),
 	}
 }
@@ -66,7 +68,7 @@
 	w.ends = append(w.ends, worker.End{Number: w.number, Name: name, Run: r.run, Ending: ending})
 }
 
-// advance ends what has ended by now, in order of time.
+// advance ends the runs that are over by now, in the order of their names.
 func (w *fakeWorker) advance(now time.Time) {
 	names := make([]string, 0, len(w.runs))
 	for name := range w.runs {
@@ -106,15 +108,15 @@
 }
 
 func (w *fakeWorker) lease(now time.Time, until time.Duration) {
-	until = min(until, w.clock(now)+w.hold)
+	until = min(until, w.clock(now)+w.maxLease)
 	for _, r := range w.runs {
 		r.until = max(r.until, until)
 	}
 }
 
-func (w *fakeWorker) start(now time.Time, life string, s worker.StartRequest, takes time.Duration, fails bool) worker.StartResult {
+func (w *fakeWorker) start(now time.Time, incarnation string, s worker.StartRequest, takes time.Duration, fails bool) worker.StartResult {
 	w.advance(now)
-	if life != w.id {
+	if incarnation != w.id {
 		return worker.WrongIncarnation{Reply: w.reply(now)}
 	}
 	if w.isFenced(s.Fence) {
@@ -133,14 +135,14 @@
 	if !w.needs(s.Name).Fits(w.capacity.Minus(w.used())) {
 		return worker.InsufficientResources{Reply: w.reply(now)}
 	}
-	w.runs[s.Name] = &fakeRun{run: s.Run, ends: now.Add(takes), fails: fails, until: min(s.LeaseUntil, w.clock(now)+w.hold)}
+	w.runs[s.Name] = &fakeRun{run: s.Run, ends: now.Add(takes), fails: fails, until: min(s.LeaseUntil, w.clock(now)+w.maxLease)}
 	w.begun[s.Name]++
 	return worker.Accepted{Reply: w.reply(now)}
 }
 
-func (w *fakeWorker) stop(now time.Time, life string, s worker.StopRequest) worker.StopResult {
+func (w *fakeWorker) stop(now time.Time, incarnation string, s worker.StopRequest) worker.StopResult {
 	w.advance(now)
-	if life != w.id {
+	if incarnation != w.id {
 		return worker.WrongIncarnation{Reply: w.reply(now)}
 	}
 	if w.isFenced(s.Fence) {
@@ -153,9 +155,9 @@
 	return worker.Accepted{Reply: w.reply(now)}
 }
 
-func (w *fakeWorker) list(now time.Time, life string, h worker.RenewRequest) worker.RenewResult {
+func (w *fakeWorker) list(now time.Time, incarnation string, h worker.RenewRequest) worker.RenewResult {
 	w.advance(now)
-	if life != w.id {
+	if incarnation != w.id {
 		return worker.WrongIncarnation{Reply: w.reply(now)}
 	}
 	if w.isFenced(h.Fence) {
--- a/internal/runner/health_test.go
+++ b/internal/runner/health_test.go
@@ -10,14 +10,14 @@
 	"sailhead/internal/worker"
 )
 
-// lookedAt is when the runs of the tests were listed.
-var lookedAt = time.Unix(1000, 0)
+// testListedAt is when the runs of the tests were listed.
+var testListedAt = time.Unix(1000, 0)
 
 func runningTask(name string, began time.Time, expected time.Duration, progress int) *task {
-	return &task{Task: Task{Name: name, Expected: expected}, state: stateRunning, began: began, progress: progress, listedAt: lookedAt}
+	return &task{Task: Task{Name: name, Expected: expected}, state: stateRunning, began: began, progress: progress, listedAt: testListedAt}
 }
 
-func TestAHangingWorkerIsSeenByItsRuns(t *testing.T) {
+func TestSlownessFollowsProgressOfRunningTasks(t *testing.T) {
 	now := time.Unix(1000, 0)
 	began := now.Add(-100 * time.Millisecond)
 	expected := 100 * time.Millisecond
@@ -26,22 +26,22 @@
 		active []*task
 		slow   bool
 	}{
-		{"runs as usual", []*task{runningTask("a.0.0.0", began, expected, 90), runningTask("b.0.0.0", began, expected, 95), runningTask("c.0.0.1", began, expected, 99)}, false},
-		{"runs that stand still", []*task{runningTask("a.0.0.0", began, expected, 4), runningTask("b.0.0.0", began, expected, 0), runningTask("c.0.0.1", began, expected, 10)}, true},
-		{"one job that took too little for its usual time", []*task{runningTask("a.0.0.0", began, expected, 9), runningTask("a.0.0.1", began, expected, 9), runningTask("a.0.0.2", began, expected, 9)}, false},
+		{"expected progress", []*task{runningTask("a.0.0.0", began, expected, 90), runningTask("b.0.0.0", began, expected, 95), runningTask("c.0.0.1", began, expected, 99)}, false},
+		{"hardly any progress", []*task{runningTask("a.0.0.0", began, expected, 4), runningTask("b.0.0.0", began, expected, 0), runningTask("c.0.0.1", began, expected, 10)}, true},
+		{"one job whose expected time is too short", []*task{runningTask("a.0.0.0", began, expected, 9), runningTask("a.0.0.1", began, expected, 9), runningTask("a.0.0.2", began, expected, 9)}, false},
 		{"too few jobs", []*task{runningTask("a.0.0.0", began, expected, 1), runningTask("b.0.0.0", began, expected, 1)}, false},
-		{"runs that have just begun", []*task{runningTask("a.0.0.0", now, expected, 0), runningTask("b.0.0.0", now, expected, 0), runningTask("c.0.0.0", now, expected, 0)}, false},
+		{"runs shorter than minElapsed", []*task{runningTask("a.0.0.0", now, expected, 0), runningTask("b.0.0.0", now, expected, 0), runningTask("c.0.0.0", now, expected, 0)}, false},
 	}
 	for _, c := range cases {
 		var h health
 		h.update(now, c.active)
 		if slow := h.slowness() > 2; slow != c.slow {
-			t.Errorf("%s: slowness %.1f", c.name, h.slowness())
+			t.Errorf("%s: slowness %.1f, want above 2: %t", c.name, h.slowness(), c.slow)
 		}
 	}
 }
 
-func TestAWorkerThatGetsNoTasksIsTakenForSoundAgain(t *testing.T) {
+func TestHealthRecoversWithoutTasks(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var h health
 	for range 20 {
@@ -50,13 +50,13 @@
 	}
 	h.update(now, nil)
 	if h.slowness() < 3 || h.failureRate() < 0.3 {
-		t.Fatalf("slowness %.1f, failures %.2f", h.slowness(), h.failureRate())
+		t.Fatalf("slowness %.1f, want at least 3; failure rate %.2f, want at least 0.3", h.slowness(), h.failureRate())
 	}
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		h.update(now, nil)
 	}
 	if h.slowness() > 1.5 || h.failureRate() > 0.1 {
-		t.Fatalf("after 10 s: slowness %.1f, failures %.2f", h.slowness(), h.failureRate())
+		t.Fatalf("after 10 s: slowness %.1f, want at most 1.5; failure rate %.2f, want at most 0.1", h.slowness(), h.failureRate())
 	}
 }
--- a/internal/runner/random_test.go
+++ b/internal/runner/random_test.go
@@ -16,8 +16,8 @@
 	"sailhead/internal/worker"
 )
 
-// schedule plays a runner against a fake worker and two entries on virtual time. Calls and answers are lost,
-// late and overtaken, the worker changes its life, entries fall silent, the agent freezes and is replaced.
+// schedule runs a runner with a fake worker and two entries on virtual time, at random. Calls and answers are lost, delayed
+// and reordered, the worker restarts, entries become unresponsive, and the agent freezes and restarts.
 type schedule struct {
 	t      *testing.T
 	random *rand.Rand
@@ -26,25 +26,28 @@
 	serial int
 	runner *Runner
 	worker *fakeWorker
-	// epoch drops what was meant for an earlier process of the agent.
+	// epoch counts the processes of the agent; answers to earlier ones are dropped.
 	epoch    int
 	entries  map[SessionID]*fakeEntry
 	sessions SessionID
-	frozen   time.Time
-	inbox    []Event
-	// faults is the share of calls that go wrong.
+	// frozen is until when the agent handles no events; inbox holds those that arrive meanwhile.
+	frozen time.Time
+	inbox  []Event
+	// faults is the share of calls that are lost or late.
 	faults float64
 	limits Limits
-	lives  int
-	tasks  int
-	fence  uint64
+	// incarnations counts those of the worker.
+	incarnations int
+	tasks        int
+	fence        uint64
 }
 
 // fakeEntry is an entry's end of a session.
 type fakeEntry struct {
 	name   string
 	number uint64
-	silent bool
+	// unresponsive is set if the entry answers no more pings.
+	unresponsive bool
 	// open are the tasks without an outcome, and outcomes those with one.
 	open     map[string]bool
 	outcomes map[string]Outcome
@@ -81,7 +84,7 @@
 		entries: make(map[SessionID]*fakeEntry), limits: DefaultLimits(time.Second, 50*time.Millisecond), fence: 10,
 	}
 	s.runner = New(s.limits, s.fence)
-	s.newLife()
+	s.newIncarnation()
 	s.tick()
 	return s
 }
@@ -99,13 +102,13 @@
 
 func needs(string) worker.Resources { return worker.Resources{CPU: taskCPU} }
 
-func (s *schedule) newLife() {
-	s.lives++
+func (s *schedule) newIncarnation() {
+	s.incarnations++
 	earlier := s.worker
-	s.worker = newFakeWorker(fmt.Sprintf("life-%d", s.lives), s.now.Add(-s.between(0, time.Hour)), worker.Resources{CPU: 4 * taskCPU}, needs)
-	s.worker.hidesStopping = s.lives%2 == 0
+	s.worker = newFakeWorker(fmt.Sprintf("worker-%d", s.incarnations), s.now.Add(-s.between(0, time.Hour)), worker.Resources{CPU: 4 * taskCPU}, needs)
+	s.worker.hidesStopping = s.incarnations%2 == 0
 	if earlier != nil {
-		// What ran is counted over all lives.
+		// The runs are counted over all incarnations.
 		s.worker.begun, s.worker.done = earlier.begun, earlier.done
 	}
 	s.beat(s.worker, 1)
@@ -116,7 +119,7 @@
 	return slices.Sorted(maps.Keys(s.entries))
 }
 
-// beat sends heartbeats of a life until another begins.
+// beat sends the heartbeats of an incarnation until the next one begins.
 func (s *schedule) beat(w *fakeWorker, sequence uint64) {
 	if s.worker != w {
 		return
@@ -135,7 +138,7 @@
 	})
 }
 
-// handle gives the runner an event, at once or when it thaws.
+// handle applies an event to the runner, at once or when the agent thaws.
 func (s *schedule) handle(event Event) {
 	if s.frozen.After(s.now) || len(s.inbox) > 0 {
 		s.inbox = append(s.inbox, event)
@@ -144,10 +147,10 @@
 		}
 		return
 	}
-	s.give(event)
+	s.applyEvent(event)
 }
 
-// thaw gives a frozen runner what has come meanwhile, in order.
+// thaw applies the events that arrived while the agent was frozen, in order.
 func (s *schedule) thaw() {
 	epoch := s.epoch
 	s.after(max(s.frozen.Sub(s.now), 0)+time.Millisecond, func() {
@@ -159,48 +162,48 @@
 			events := s.inbox
 			s.inbox = nil
 			for _, event := range events {
-				s.give(event)
+				s.applyEvent(event)
 			}
 		}
 	})
 }
 
-func (s *schedule) give(event Event) {
+func (s *schedule) applyEvent(event Event) {
 	for _, effect := range s.runner.Handle(s.now, event) {
-		s.carry(effect)
+		s.applyEffect(effect)
 	}
 	s.checkUse()
 }
 
-// checkUse checks that the runner's count of what is taken fits its tasks.
+// checkUse checks that the runner's count of used resources is the sum over its active tasks.
 func (s *schedule) checkUse() {
 	if s.runner.worker == nil {
 		return
 	}
 	if used := len(s.runner.active()) * taskCPU; used != s.runner.worker.used.CPU {
-		s.t.Fatalf("the runner counts %d as taken, its tasks take %d", s.runner.worker.used.CPU, used)
+		s.t.Fatalf("the runner counts %d as used, its active tasks use %d", s.runner.worker.used.CPU, used)
 	}
 }
 
-func (s *schedule) carry(effect Effect) {
+func (s *schedule) applyEffect(effect Effect) {
 	switch e := effect.(type) {
 	case CallStart:
 		takes, fails := s.between(20*time.Millisecond, 900*time.Millisecond), s.chance(0.05)
-		s.call(func() any { return s.worker.start(s.now, e.Incarnation, e.Start, takes, fails) }, func(result any) Event {
+		s.call(func() worker.Result { return s.worker.start(s.now, e.Incarnation, e.Start, takes, fails) }, func(result worker.Result) Event {
 			return StartAnswered{Incarnation: e.Incarnation, Name: e.Start.Name, Run: e.Start.Run, Result: result.(worker.StartResult)}
 		})
 	case CallStop:
-		s.call(func() any { return s.worker.stop(s.now, e.Incarnation, e.Stop) }, func(result any) Event {
+		s.call(func() worker.Result { return s.worker.stop(s.now, e.Incarnation, e.Stop) }, func(result worker.Result) Event {
 			return StopAnswered{Incarnation: e.Incarnation, Name: e.Stop.Name, Run: e.Stop.Run, Result: result.(worker.StopResult)}
 		})
 	case CallRenew:
 		sent := s.now
-		s.call(func() any { return s.worker.list(s.now, e.Incarnation, e.Renew) }, func(result any) Event {
+		s.call(func() worker.Result { return s.worker.list(s.now, e.Incarnation, e.Renew) }, func(result worker.Result) Event {
 			return RenewAnswered{Incarnation: e.Incarnation, Sent: sent, LongPoll: e.Renew.Wait > 0, Result: result.(worker.RenewResult)}
 		})
 	case SendPing:
 		entry := s.entries[e.Session]
-		if entry != nil && !entry.silent {
+		if entry != nil && !entry.unresponsive {
 			s.after(s.between(time.Millisecond, 6*time.Millisecond), func() { s.handle(PongReceived{Session: e.Session, Sent: e.Time}) })
 		}
 	case SendUpdate:
@@ -210,10 +213,10 @@
 	}
 }
 
-// call carries out a call of the worker, or leaves it unanswered and carries it out now, late or never.
-func (s *schedule) call(do func() any, answered func(any) Event) {
+// call makes a call to the worker. Some calls get no answer and are carried out soon, late or never.
+func (s *schedule) call(do func() worker.Result, answered func(worker.Result) Event) {
 	epoch := s.epoch
-	post := func(result any) {
+	post := func(result worker.Result) {
 		if epoch == s.epoch {
 			s.handle(answered(result))
 		}
@@ -244,17 +247,17 @@
 		return
 	case OutcomeNotStarted:
 		if s.worker.done[e.Update.Name] > 0 {
-			s.t.Fatalf("%s is told not started, yet it has run", e.Update.Name)
+			s.t.Fatalf("%s is reported as not started, but it has run", e.Update.Name)
 		}
 	case OutcomeDone:
 		if s.worker.done[e.Update.Name] == 0 {
-			s.t.Fatalf("%s is told done, yet no run ended well", e.Update.Name)
+			s.t.Fatalf("%s is reported as done, but no run of it is", e.Update.Name)
 		}
 	}
 	delete(entry.open, e.Update.Name)
 	entry.outcomes[e.Update.Name] = e.Update.Outcome
 	if _, running := s.worker.runs[e.Update.Name]; running && e.Update.Outcome != OutcomeLost {
-		s.t.Fatalf("%s is told %s, yet a run of it goes on", e.Update.Name, e.Update.Outcome)
+		s.t.Fatalf("%s is reported as %s, but a run of it has not ended", e.Update.Name, e.Update.Outcome)
 	}
 }
 
@@ -269,7 +272,7 @@
 	return s.sessions
 }
 
-// run plays until a time, with a task now and then and a trouble now and then.
+// run advances the virtual time by length. Until 4 s before the end it submits tasks and, if troubles is set, causes troubles.
 func (s *schedule) run(length time.Duration, troubles bool) {
 	end := s.now.Add(length)
 	var submit func()
@@ -300,6 +303,7 @@
 	s.now = end
 }
 
+// submit requests a start of a task on a random session, and sometimes its stop a little later.
 func (s *schedule) submit(name string) {
 	if len(s.entries) < 2 {
 		s.openSession(fmt.Sprintf("entry-%d", s.random.IntN(2)))
@@ -307,26 +311,25 @@
 	ids := s.sorted()
 	id := ids[s.random.IntN(len(ids))]
 	entry := s.entries[id]
-	{
-		entry.number++
-		entry.open[name] = true
-		s.handle(StartRequested{Session: id, Number: entry.number, Task: Task{
-			Name: name, Run: 1, Needs: worker.Resources{CPU: taskCPU}, Expected: 300 * time.Millisecond,
-			MaxWait: s.between(0, 300*time.Millisecond),
-		}})
-		if s.chance(0.1) {
-			s.after(s.between(0, 300*time.Millisecond), func() { s.handle(StopRequested{Session: id, Name: name}) })
-		}
+	entry.number++
+	entry.open[name] = true
+	s.handle(StartRequested{Session: id, Number: entry.number, Task: Task{
+		Name: name, Run: 1, Needs: worker.Resources{CPU: taskCPU}, Expected: 300 * time.Millisecond,
+		MaxWait: s.between(0, 300*time.Millisecond),
+	}})
+	if s.chance(0.1) {
+		s.after(s.between(0, 300*time.Millisecond), func() { s.handle(StopRequested{Session: id, Name: name}) })
 	}
 }
 
+// trouble restarts the worker or the agent, freezes the agent, or cuts off an entry with or without notice.
 func (s *schedule) trouble() {
 	switch s.random.IntN(5) {
 	case 0:
-		s.newLife()
+		s.newIncarnation()
 	case 1:
 		for _, id := range s.sorted() {
-			s.entries[id].silent = true
+			s.entries[id].unresponsive = true
 			return
 		}
 	case 2:
@@ -342,7 +345,7 @@
 	}
 }
 
-// restart replaces the agent by a new process that must find out what runs.
+// restart replaces the agent by a new process, which has to find out what runs.
 func (s *schedule) restart() {
 	s.epoch++
 	s.frozen = time.Time{}
@@ -352,7 +355,7 @@
 	s.entries = make(map[SessionID]*fakeEntry)
 }
 
-// schedules is how many schedules are played, and first the seed of the first.
+// schedules is the number of schedules, and first is the seed of the first one.
 var (
 	schedules = flag.Int("schedules", 60, "number of random schedules")
 	first     = flag.Uint64("first", 0, "seed of the first random schedule")
@@ -362,7 +365,7 @@
 	for seed := *first; seed < *first+uint64(*schedules); seed++ {
 		s := newSchedule(t, seed, []float64{0, 0.05, 0.3}[seed%3])
 		s.run(20*time.Second, true)
-		// Without further tasks and faults everything settles.
+		// Without further tasks and faults every task gets its outcome and every run ends.
 		s.faults = 0
 		s.run(16*time.Second, false)
 		for _, entry := range s.entries {
@@ -376,7 +379,7 @@
 	}
 }
 
-func TestCalmScheduleServesEveryTask(t *testing.T) {
+func TestScheduleWithoutFaultsLosesNoTask(t *testing.T) {
 	s := newSchedule(t, 7, 0)
 	s.run(30*time.Second, false)
 	outcomes := make(map[Outcome]int)
@@ -386,6 +389,6 @@
 		}
 	}
 	if outcomes[OutcomeDone] < 100 || outcomes[OutcomeLost] > 0 {
-		t.Fatalf("outcomes of a calm schedule: %v", outcomes)
+		t.Fatalf("outcomes without faults: %v, want at least 100 done and none lost", outcomes)
 	}
 }
--- a/internal/runner/script_test.go
+++ b/internal/runner/script_test.go
@@ -14,13 +14,14 @@
 	"sailhead/internal/worker"
 )
 
-// script runs a runner by the commands of a file in testdata.
+// script feeds a runner with events from the commands of a file in testdata.
 type script struct {
 	t      *testing.T
 	now    time.Time
 	runner *Runner
+	// number counts the starts.
 	number uint64
-	// ends counts the ends that the worker has listed.
+	// ends counts the ends that were listed.
 	ends uint64
 }
 
@@ -38,7 +39,7 @@
 	return otherwise
 }
 
-// clock is the worker's clock in scripts.
+// clock returns the worker's clock, which is the same as the agent's in scripts.
 func (s *script) clock() time.Duration { return time.Duration(s.now.UnixNano()) }
 
 func (s *script) reply() worker.Reply { return worker.Reply{Clock: s.clock(), Received: s.now} }
@@ -49,9 +50,9 @@
 		first = d.CmdArgs[0].Key
 	}
 	session := SessionID(number(t, d, "session", 1))
-	life := "w"
-	if d.HasArg("life") {
-		d.ScanArgs(t, "life", &life)
+	incarnation := "w"
+	if d.HasArg("incarnation") {
+		d.ScanArgs(t, "incarnation", &incarnation)
 	}
 	run := uint32(number(t, d, "run", 1))
 	switch d.Cmd {
@@ -62,7 +63,7 @@
 		}})
 	case "recall":
 		return s.handle(WorkerRecalled{Record: worker.Record{ID: first, Service: "svc", Capacity: worker.Resources{CPU: 4000}}})
-	case "gone":
+	case "left":
 		return s.handle(WorkerLeft{ID: first})
 	case "open":
 		return s.handle(SessionOpened{Session: session, Entry: first})
@@ -74,24 +75,24 @@
 		s.number++
 		return s.handle(StartRequested{Session: session, Number: s.number, Task: Task{
 			Name: first, Run: run, Needs: worker.Resources{CPU: number(t, d, "cpu", 1000)}, Expected: 100 * time.Millisecond,
-			MaxWait: time.Duration(number(t, d, "wait", 0)) * time.Millisecond, IsDurable: d.HasArg("kept"),
+			MaxWait: time.Duration(number(t, d, "wait", 0)) * time.Millisecond, IsDurable: d.HasArg("durable"),
 		}})
-	case "noted":
+	case "acknowledged":
 		return s.handle(EndAcknowledged{Name: first, Run: run})
 	case "stop":
 		return s.handle(StopRequested{Session: session, Name: first})
 	case "started":
-		return s.handle(StartAnswered{Incarnation: life, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key)})
+		return s.handle(StartAnswered{Incarnation: incarnation, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key)})
 	case "stopped":
-		return s.handle(StopAnswered{Incarnation: life, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key).(worker.StopResult)})
+		return s.handle(StopAnswered{Incarnation: incarnation, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key).(worker.StopResult)})
 	case "listed":
-		return s.handle(RenewAnswered{Incarnation: life, Sent: s.now, Result: s.listing(t, d)})
-	case "unlisted":
-		return s.handle(RenewAnswered{Incarnation: life, Sent: s.now, LongPoll: d.HasArg("waited"), Result: worker.Unanswered{}})
+		return s.handle(RenewAnswered{Incarnation: incarnation, Sent: s.now, Result: s.listing(t, d)})
+	case "renew_unanswered":
+		return s.handle(RenewAnswered{Incarnation: incarnation, Sent: s.now, LongPoll: d.HasArg("long_poll"), Result: worker.Unanswered{}})
 	case "wait":
 		s.now = s.now.Add(time.Duration(number(t, d, "ms", 0)) * time.Millisecond)
 		return s.handle(Ticked{})
-	case "leave":
+	case "shutdown":
 		return s.handle(ShutdownRequested{})
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
@@ -102,20 +103,20 @@
 func (s *script) startResult(t *testing.T, name string) worker.StartResult {
 	results := map[string]worker.StartResult{
 		"accepted": worker.Accepted{Reply: s.reply()}, "unanswered": worker.Unanswered{}, "outdated": worker.Outdated{Reply: s.reply()},
-		"fenced": worker.Fenced{Reply: s.reply()}, "late": worker.TooLate{Reply: s.reply()}, "no_room": worker.InsufficientResources{Reply: s.reply()},
-		"unhealthy": worker.Unhealthy{Reply: s.reply()}, "other_life": worker.WrongIncarnation{Reply: s.reply()}, "not_reached": worker.NotReached{},
+		"fenced": worker.Fenced{Reply: s.reply()}, "too_late": worker.TooLate{Reply: s.reply()}, "insufficient_resources": worker.InsufficientResources{Reply: s.reply()},
+		"unhealthy": worker.Unhealthy{Reply: s.reply()}, "wrong_incarnation": worker.WrongIncarnation{Reply: s.reply()}, "not_reached": worker.NotReached{},
 		"invalid": worker.Invalid{Reply: s.reply(), Reason: "x"},
 	}
 	result, ok := results[name]
 	if !ok {
-		t.Fatalf("unknown answer %s", name)
+		t.Fatalf("unknown result %s", name)
 	}
 	return result
 }
 
-// listing reads the runs of a listing: NAME=RUN for one that goes on, NAME=(RUN,ENDING) for one that has ended.
+// listing parses a listing: NAME=RUN is a running task, NAME=(RUN,ENDING) the end of one.
 func (s *script) listing(t *testing.T, d *datadriven.TestData) worker.Listing {
-	endings := map[string]worker.Ending{"done": worker.EndingDone, "failed": worker.EndingFailed, "stopped": worker.EndingStopped, "lapsed": worker.EndingLeaseExpired}
+	endings := map[string]worker.Ending{"done": worker.EndingDone, "failed": worker.EndingFailed, "stopped": worker.EndingStopped, "lease_expired": worker.EndingLeaseExpired}
 	l := worker.Listing{Reply: s.reply()}
 	for _, arg := range d.CmdArgs {
 		var run uint32
@@ -132,7 +133,7 @@
 	return l
 }
 
-// handle gives the runner an event and prints the effects but pings and loads.
+// handle applies an event and returns the effects as text, without those that only report: pings, records and loads.
 func (s *script) handle(event Event) string {
 	var out strings.Builder
 	for _, effect := range s.runner.Handle(s.now, event) {
@@ -146,13 +147,13 @@
 			if e.Renew.LeaseUntil > 0 {
 				lease = (e.Renew.LeaseUntil - s.clock()).String()
 			}
-			fmt.Fprintf(&out, "call hold lease=%s last=%d wait=%s\n", lease, e.Renew.AcknowledgedEnd, e.Renew.Wait)
+			fmt.Fprintf(&out, "call renew lease=%s acknowledged=%d wait=%s\n", lease, e.Renew.AcknowledgedEnd, e.Renew.Wait)
 		case SendUpdate:
-			unnoted := ""
+			unacknowledged := ""
 			if e.Update.Unacknowledged {
-				unnoted = " unnoted"
+				unacknowledged = " unacknowledged"
 			}
-			fmt.Fprintf(&out, "tell %d: %s run=%d %s %s%s\n", e.Session, e.Update.Name, e.Update.Run, e.Update.Outcome, e.Update.Reason, unnoted)
+			fmt.Fprintf(&out, "update %d: %s run=%d %s %s%s\n", e.Session, e.Update.Name, e.Update.Run, e.Update.Outcome, e.Update.Reason, unacknowledged)
 		case CloseSession:
 			fmt.Fprintf(&out, "close %d: %s\n", e.Session, e.Reason)
 		}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -19,19 +19,19 @@
 	"sailhead/internal/worker"
 )
 
-// heard collects what an agent says.
-type heard struct {
+// recorder records the messages of an agent.
+type recorder struct {
 	messages    chan any
 	incarnation *atomic.Int64
 }
 
-func (h heard) MessageReceived()            {}
-func (h heard) Incarnation(n int64)         { h.incarnation.Store(n) }
-func (h heard) Worker(record worker.Record) { h.messages <- record }
-func (h heard) Load(handled uint64, load runner.Load) {
+func (h recorder) MessageReceived()            {}
+func (h recorder) Incarnation(n int64)         { h.incarnation.Store(n) }
+func (h recorder) Worker(record worker.Record) { h.messages <- record }
+func (h recorder) Load(handled uint64, load runner.Load) {
 	h.messages <- runner.SendLoad{Handled: handled, Load: load}
 }
-func (h heard) Update(update runner.Update) { h.messages <- update }
+func (h recorder) Update(update runner.Update) { h.messages <- update }
 
 func next[T any](t *testing.T, messages <-chan T) T {
 	t.Helper()
@@ -39,13 +39,13 @@
 	case message := <-messages:
 		return message
 	case <-time.After(5 * time.Second):
-		t.Fatal("no message came")
+		t.Fatal("no message within 5 s")
 		panic("unreachable")
 	}
 }
 
-// pair opens a session between an entry and an agent on loopback.
-func pair(t *testing.T) (*AgentConn, *Server, heard, chan runner.Event) {
+// pair opens a session between an entry and an agent on the loopback interface.
+func pair(t *testing.T) (*AgentConn, *Server, recorder, chan runner.Event) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,16 +58,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(entry.Close)
-	h := heard{messages: make(chan any, 100), incarnation: new(atomic.Int64)}
+	h := recorder{messages: make(chan any, 100), incarnation: new(atomic.Int64)}
 	go func() { _ = entry.Serve(h) }()
 	return entry, server, h, events
 }
 
-func TestEveryMessageArrivesWhole(t *testing.T) {
+func TestMessagesArriveUnchanged(t *testing.T) {
 	entry, server, h, events := pair(t)
 	opened := next(t, events).(runner.SessionOpened)
 	if opened.Entry != "entry-1" {
-		t.Fatalf("%+v", opened)
+		t.Fatalf("got %+v, want entry-1", opened)
 	}
 	task := runner.Task{
 		Name: "j.0.0.1", Run: 3, Payload: "p", Needs: worker.Resources{CPU: 1, Memory: 2, GPU: 3}, Checkpoint: "c",
@@ -76,10 +76,10 @@
 	entry.Start(9, task)
 	entry.Stop("j.0.0.1")
 	if got, want := next(t, events), (runner.StartRequested{Session: opened.Session, Number: 9, Task: task}); !reflect.DeepEqual(got, want) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	if got, want := next(t, events), (runner.StopRequested{Session: opened.Session, Name: "j.0.0.1"}); got != want {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	record := worker.Record{ID: "i", Service: "s", Zone: "z", Capacity: worker.Resources{CPU: 1, Memory: 2, GPU: 3}, Labels: []string{"a"}}
 	load := runner.Load{Used: worker.Resources{CPU: 7}, Accepts: true, ShuttingDown: true, Slowness: 1.5, FailureRate: 0.25}
@@ -94,32 +94,32 @@
 	}
 }
 
-func TestAnEchoTellsWhenItsPingWasSent(t *testing.T) {
+func TestPongCarriesTimeOfPing(t *testing.T) {
 	_, server, entrySide, events := pair(t)
 	opened := next(t, events).(runner.SessionOpened)
 	sent := time.Now().Add(-time.Minute)
 	server.Send(runner.SendPing{Session: opened.Session, Time: sent})
 	pong := next(t, events).(runner.PongReceived)
 	if got := entrySide.incarnation.Load(); got != 77 {
-		t.Errorf("incarnation %d", got)
+		t.Errorf("incarnation %d, want 77", got)
 	}
 	if pong.Session != opened.Session || !pong.Sent.Equal(sent) {
-		t.Fatalf("%+v, sent %s", pong, sent)
+		t.Fatalf("got %+v, want a pong of %s", pong, sent)
 	}
 }
 
-func TestBothEndsHearTheEndOfASession(t *testing.T) {
+func TestClosedSessionIsReported(t *testing.T) {
 	entry, server, _, events := pair(t)
 	opened := next(t, events).(runner.SessionOpened)
 	entry.Close()
 	if got := next(t, events); got != (runner.SessionClosed{Session: opened.Session}) {
 		t.Fatalf("%+v", got)
 	}
-	// What is sent on a closed session is dropped.
+	// Messages on a closed session are dropped.
 	server.Send(runner.SendPing{Session: opened.Session, Time: time.Now()})
 }
 
-func TestAPeerThatTakesNothingIsLost(t *testing.T) {
+func TestSessionWithUnreadMessagesIsClosed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
