--- a/spec/session.pml
+++ b/spec/session.pml
@@ -1,53 +1,58 @@
 /* SPDX-License-Identifier: MIT
  *
- * One task, the entry that owns it, two agents and their workers, on discrete time. The entry places the task at
- * agent 0; at any moment it loses that session, waits and places the task at agent 1. Orders, echoes and starts are
- * late or lost; agent 0 freezes, thaws and dies. Holds: no two runs of the task go on at the same time.
+ * One task, the entry that owns it, two agents and their workers, on discrete time. The entry places the task on agent 0.
+ * At any moment it may lose that session; it then waits and places the task on agent 1. Start requests, pongs and calls
+ * to the worker are late or lost; agent 0 freezes, thaws and dies.
  *
- * Rules and their mutants:
- *   EARLY      the entry places a task again only after the session's and the lease's time
- *   NOSTOP     an agent stops the runs of a session whose time is over
- *   NOCHECK    an agent looks at the session right before a start
- *   STALE      an echo prolongs the session from when its ping was sent, not from when it came
- *   NOFENCE    a start without an answer is stopped before the task is run again
- *   ENDLESS    a start is good only until the end of its lease
- *   STOPTIME   a run that was stopped may go on, unlisted, for the time of a stop before the task is run again
+ * Asserted: two runs of the task never overlap.
+ *
+ * Rules, each with the mutant that leaves it out:
+ *   EARLY      the entry places the task again only after RERUN_DELAY
+ *   NOSTOP     an agent stops the runs of a session whose lease has expired
+ *   NOCHECK    an agent checks the session's lease right before a start
+ *   STALE      a pong extends the session's lease from when its ping was sent, not from when the pong arrived
+ *   NOFENCE    a start without an answer is stopped before the task runs again
+ *   ENDLESS    the worker rejects a start whose lease has expired
+ *   STOPTIME   a stopped run may continue, unlisted, for STOP_TIME; the task runs again only after that
+ *
+ * In the code: internal/runner (session.go, start.go, stop.go, lease.go), internal/agent (callStart), internal/dispatch,
+ * and the times in internal/timing. RERUN_DELAY here has no part for the stop; timing.RerunDelay has one in addition.
  */
-#define S 2                 /* the session's time */
-#define H 2                 /* the lease's time */
-#define STOP 1              /* the longest time of a stop at the worker */
-#define SETTLE (S + H)
-#define END 7
-#define NONE 255
+#define SESSION_LEASE 2
+#define WORKER_LEASE 2
+#define STOP_TIME 1         /* the longest time between a stop and the end of the run */
+#define RERUN_DELAY (SESSION_LEASE + WORKER_LEASE)
+#define END 7               /* the last moment of the model */
+#define NONE 255            /* no pong is under way */
 
 byte now;
-byte runs[2];               /* runs that go on at the worker */
-byte lease[2];
+byte runs[2];               /* runs on the worker */
+byte lease[2];              /* the worker ends the run at this time */
 byte inflight[2];           /* starts on their way to the worker */
-byte until[2];
-bool ordered[2];            /* the entry's order on its way to the agent */
-bool holding[2];            /* the agent may have a run at the worker */
-byte session[2];            /* the session is valid before this time */
-byte echo[2] = NONE;        /* time of a ping whose echo is under way */
-byte pinged;
+byte start_lease[2];        /* the end of the lease in the latest start */
+bool requested[2];          /* a start request of the entry is on its way to the agent */
+bool may_run[2];            /* the agent may have a run on the worker */
+byte session[2];            /* the end of the session's lease */
+byte pong[2] = NONE;        /* the time of the ping whose pong is under way */
+byte pinged;                /* the time of the latest ping */
 bool frozen[2];
 bool dead[2];
-bool stopping[2];           /* the worker has taken a stop for the run */
-byte stopped_by[2];         /* when that run has ended at the latest */
-bool settling;              /* agent 0 has stopped a start without an answer and waits for the run's end */
-byte settled_at;
-bool again;                 /* the task was run again after a start without an answer */
-bool lost;                  /* the entry has given up the session with agent 0 */
+bool stopping[2];           /* the worker has accepted a stop of the run */
+byte stopped_by[2];         /* the latest time at which that run ends */
+bool resolving;             /* agent 0 has stopped a start without an answer and waits for the end of a run */
+byte resolve_after;         /* the time at which that run has ended */
+bool rerun;                 /* the task has run again after a start without an answer */
+bool lost;                  /* the entry has lost the session with agent 0 */
 byte lost_at;
 
 #define awake(g) (!dead[g] && !frozen[g])
 #define valid(g) (now < session[g])
 
-/* A living agent has stopped the runs of an ended session before time goes on. */
+/* While true, time does not advance: a running agent stops the runs of an expired session at once. */
 #ifdef NOSTOP
-#define obliged(g) false
+#define must_stop(g) false
 #else
-#define obliged(g) (awake(g) && !valid(g) && holding[g])
+#define must_stop(g) (awake(g) && !valid(g) && may_run[g])
 #endif
 
 inline begin_run(g) {
@@ -55,10 +60,10 @@
   assert(runs[0] + runs[1] <= 1)
 }
 
-/* A stop fences the starts that are under way at once; a run goes on until the worker ends it. */
+/* From a stop on the worker rejects the starts that are under way; a run continues until the worker ends it. */
 inline stop_run(g) {
   inflight[g] = 0;
-  if :: runs[g] > 0 && !stopping[g] -> stopping[g] = true; stopped_by[g] = now + STOP :: else fi
+  if :: runs[g] > 0 && !stopping[g] -> stopping[g] = true; stopped_by[g] = now + STOP_TIME :: else fi
 }
 
 inline end_run(g) {
@@ -71,7 +76,7 @@
 
 active proctype Time() {
   do
-  :: atomic { now < END && !obliged(0) && !obliged(1) ->
+  :: atomic { now < END && !must_stop(0) && !must_stop(1) ->
        now++;
        end_run_if_over(0);
        end_run_if_over(1) }
@@ -80,55 +85,56 @@
 }
 
 active proctype Entry() {
-  atomic { ordered[0] = true; session[0] = S };
+  atomic { requested[0] = true; session[0] = SESSION_LEASE };
   atomic { lost = true; lost_at = now };
 #ifdef EARLY
-  atomic { now >= lost_at + S -> ordered[1] = true; session[1] = now + S }
+  atomic { now >= lost_at + SESSION_LEASE -> requested[1] = true; session[1] = now + SESSION_LEASE }
 #else
-  atomic { now >= lost_at + SETTLE -> ordered[1] = true; session[1] = now + S }
+  atomic { now >= lost_at + RERUN_DELAY -> requested[1] = true; session[1] = now + SESSION_LEASE }
 #endif
 }
 
 proctype Agent(byte g) {
   do
-  /* a ping, which the entry echoes unless it has given the session up */
-  :: atomic { g == 0 && awake(g) && echo[g] == NONE && !lost && now > pinged -> pinged = now; echo[g] = now }
-  :: atomic { awake(g) && echo[g] != NONE ->
+  /* a ping, which the entry answers unless it has lost the session */
+  :: atomic { g == 0 && awake(g) && pong[g] == NONE && !lost && now > pinged -> pinged = now; pong[g] = now }
+  :: atomic { awake(g) && pong[g] != NONE ->
 #ifdef STALE
-       session[g] = now + S;
+       session[g] = now + SESSION_LEASE;
 #else
-       if :: session[g] < echo[g] + S -> session[g] = echo[g] + S :: else fi;
+       if :: session[g] < pong[g] + SESSION_LEASE -> session[g] = pong[g] + SESSION_LEASE :: else fi;
 #endif
-       echo[g] = NONE }
-  :: atomic { echo[g] != NONE -> echo[g] = NONE }
-  /* the order, acted on or dropped */
+       pong[g] = NONE }
+  :: atomic { pong[g] != NONE -> pong[g] = NONE }
+  /* the start request is carried out or dropped */
 #ifdef NOCHECK
-  :: atomic { awake(g) && ordered[g] -> ordered[g] = false; holding[g] = true; inflight[g]++; until[g] = now + H }
+  :: atomic { awake(g) && requested[g] -> requested[g] = false; may_run[g] = true; inflight[g]++; start_lease[g] = now + WORKER_LEASE }
 #else
-  :: atomic { awake(g) && ordered[g] && valid(g) -> ordered[g] = false; holding[g] = true; inflight[g]++; until[g] = now + H }
+  :: atomic { awake(g) && requested[g] && valid(g) -> requested[g] = false; may_run[g] = true; inflight[g]++; start_lease[g] = now + WORKER_LEASE }
 #endif
-  :: atomic { ordered[g] -> ordered[g] = false }
-  /* a hold */
+  :: atomic { requested[g] -> requested[g] = false }
+  /* a renewal of the worker's lease */
 #ifdef NOSTOP
-  :: atomic { awake(g) && holding[g] && runs[g] > 0 -> lease[g] = now + H }
+  :: atomic { awake(g) && may_run[g] && runs[g] > 0 -> lease[g] = now + WORKER_LEASE }
 #else
-  :: atomic { awake(g) && holding[g] && valid(g) && runs[g] > 0 -> lease[g] = now + H }
-  /* the session is over: a stop ends the run and fences a start that is still under way */
-  :: atomic { awake(g) && holding[g] && !valid(g) -> holding[g] = false; stop_run(g) }
+  :: atomic { awake(g) && may_run[g] && valid(g) && runs[g] > 0 -> lease[g] = now + WORKER_LEASE }
+  /* the session has expired: a stop ends the run and makes the worker reject a start that is under way */
+  :: atomic { awake(g) && may_run[g] && !valid(g) -> may_run[g] = false; stop_run(g) }
 #endif
-  /* no answer to the start, which may have begun a run since it was listed: stop it, wait for the end of a run that may go on, and run the task again, once */
-  :: atomic { g == 0 && !again && !settling && awake(g) && holding[g] && valid(g) && inflight[g] + runs[g] == 1 ->
-       settling = true; settled_at = now + STOP;
+  /* the start was not answered and may begin a run after the listing: stop it, wait until a run has ended, and run the
+     task again, once */
+  :: atomic { g == 0 && !rerun && !resolving && awake(g) && may_run[g] && valid(g) && inflight[g] + runs[g] == 1 ->
+       resolving = true; resolve_after = now + STOP_TIME;
 #ifndef NOFENCE
        stop_run(g)
 #endif
      }
 #ifdef STOPTIME
-  :: atomic { g == 0 && settling && awake(g) && holding[g] && valid(g) ->
+  :: atomic { g == 0 && resolving && awake(g) && may_run[g] && valid(g) ->
 #else
-  :: atomic { g == 0 && settling && awake(g) && holding[g] && valid(g) && now >= settled_at ->
+  :: atomic { g == 0 && resolving && awake(g) && may_run[g] && valid(g) && now >= resolve_after ->
 #endif
-       settling = false; again = true; inflight[g]++; until[g] = now + H }
+       resolving = false; rerun = true; inflight[g]++; start_lease[g] = now + WORKER_LEASE }
   :: atomic { g == 0 && !frozen[g] && now < END -> frozen[g] = true }
   :: atomic { frozen[g] -> frozen[g] = false }
   :: atomic { g == 0 && !dead[g] -> dead[g] = true }
@@ -139,9 +145,9 @@
 proctype Worker(byte g) {
   do
 #ifdef ENDLESS
-  :: atomic { inflight[g] > 0 -> inflight[g]--; lease[g] = now + H; begin_run(g) }
+  :: atomic { inflight[g] > 0 -> inflight[g]--; lease[g] = now + WORKER_LEASE; begin_run(g) }
 #else
-  :: atomic { inflight[g] > 0 && now < until[g] -> inflight[g]--; lease[g] = until[g]; begin_run(g) }
+  :: atomic { inflight[g] > 0 && now < start_lease[g] -> inflight[g]--; lease[g] = start_lease[g]; begin_run(g) }
 #endif
   :: atomic { inflight[g] > 0 -> inflight[g]-- }
   :: atomic { runs[g] > 0 -> end_run(g) }
