--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -100,7 +100,7 @@
 		logger:       logging.Part(logger, "agent"),
 		metrics:      metrics,
 		runs:         newRunRecorder(metrics),
-		runner:       runner.New(settings.Limits, uint64(now.Unix())),
+		runner:       runner.New(settings.Limits, newFence(now)),
 		events:       make(chan runner.Event, settings.Ring),
 		registration: newRegistration(),
 	}
@@ -124,6 +124,12 @@
 	}
 }
 
+// newFence returns the fencing token of a process that started at that time: seconds since 1970, so that a later process
+// has a higher one. The runner copes with a clock that was set back.
+func newFence(started time.Time) uint64 {
+	return uint64(started.Unix())
+}
+
 // SetSeeds replaces the addresses of entries to which the agent announces itself.
 func (a *Agent) SetSeeds(seeds []string) {
 	a.seeds.Store(&seeds)
--- a/internal/runner/acknowledge.go
+++ b/internal/runner/acknowledge.go
@@ -15,8 +15,8 @@
 // Unacknowledged ends
 //
 // Inputs: the ends of durable tasks' runs and of orphans, and the acknowledgements of entries.
-// Rule: the worker is told to forget ends only up to the first one that no owner has acknowledged, and that one is resent
-// to all entries every timing.EndResendInterval. At maxUnacknowledged the worker gets no new tasks.
+// Rule: renewals let the worker forget ends only up to the first one that no owner has acknowledged. Unacknowledged ends
+// are resent to all entries every timing.EndResendInterval. At maxUnacknowledged the worker gets no new tasks.
 // Reason: the owner may have died before it recorded the end; the next owner would run the task again.
 
 const (
--- a/internal/runner/admission.go
+++ b/internal/runner/admission.go
@@ -13,8 +13,8 @@
 // When the worker accepts tasks
 //
 // Inputs: the shutdown of the agent, the worker's record, the answers to renewals and starts, its listing of runs.
-// Rule: refusalReason names the first condition that stands against new tasks; Load.Accepts tells entries whether there
-// is one, and queued tasks wait while there is. A worker that is only full accepts tasks into the queue.
+// Rule: refusalReason returns the first condition that prevents new tasks. Load.Accepts is false while there is one, and
+// queued tasks wait. A worker that is only full accepts tasks into the queue.
 // Reason: the entry places a rejected task elsewhere at once. A task that is sent to a worker which does not answer can
 // run elsewhere only after its lease has expired.
 
--- a/internal/runner/effect.go
+++ b/internal/runner/effect.go
@@ -119,7 +119,7 @@
 	Name    string
 	Run     uint32
 	Outcome Outcome
-	// Reason explains every outcome but OutcomeStarted and OutcomeDone, for logs and callers.
+	// Reason explains the outcome, for logs and callers. Empty for OutcomeStarted, OutcomeDone and resent ends.
 	Reason string
 	// Checkpoint is where the run stopped, or empty.
 	Checkpoint string
--- a/internal/runner/event.go
+++ b/internal/runner/event.go
@@ -102,7 +102,7 @@
 	Result      worker.RenewResult
 }
 
-// ShutdownRequested starts the shutdown: queued and new tasks are rejected, running ones go on.
+// ShutdownRequested starts the shutdown: queued and new tasks are rejected, active ones continue.
 type ShutdownRequested struct{}
 
 // Ticked is sent at regular intervals. Everything that depends on time is checked then.
--- a/internal/runner/health.go
+++ b/internal/runner/health.go
@@ -97,8 +97,8 @@
 	return float64(now.Sub(t.began)) / float64(t.Expected)
 }
 
-// projectedStretch returns the stretch that the run will have at its end, if it goes on at the speed that its progress
-// showed when it was last listed.
+// projectedStretch returns the stretch that the run will have at its end, if it continues at the speed that its
+// progress showed when it was last listed.
 func (t *task) projectedStretch() float64 {
 	return t.stretch(t.listedAt) * percentDone / float64(min(max(t.progress, 1), percentDone))
 }
--- a/internal/runner/lease.go
+++ b/internal/runner/lease.go
@@ -32,7 +32,7 @@
 	return r.worker.clock + now.Sub(r.worker.clockRead) + r.limits.Lease
 }
 
-// leaseBound returns how long after the last request of a lease a run may go on, on this process's clock.
+// leaseBound returns how long after the last request of a lease a run may continue, on this process's clock.
 func (r *Runner) leaseBound() time.Duration {
 	return withDrift(r.limits.Lease) + r.limits.Stop
 }
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -77,7 +77,7 @@
 		r.handleWorkerState(now, e.Incarnation, e.Result)
 		r.finish(t, OutcomeNotStarted, reasonUnhealthy)
 	case worker.Invalid:
-		r.finish(t, OutcomeNotStarted, "the worker rejected the start as invalid: "+result.Reason)
+		r.finish(t, OutcomeNotStarted, "the start was rejected: "+result.Reason)
 	case worker.Unanswered:
 		r.checkStart(now, t)
 	case worker.NotReached, worker.WrongIncarnation:
--- a/internal/runner/stop.go
+++ b/internal/runner/stop.go
@@ -17,7 +17,7 @@
 // Inputs: the worker's answer to a stop, and its listings.
 // Rule: a stop is repeated until the worker accepts it. A stopped run has ended when the worker lists its end, or when a
 // listing lacks it that was requested later than the answer plus Limits.Stop plus the drift of the worker's clock.
-// Reason: a run may go on for Limits.Stop after the answer, and the worker need not list it during that time.
+// Reason: a run may continue for Limits.Stop after the answer, and the worker need not list it during that time.
 // Measured: without the wait a task ran twice (dyfrdwy-prod-grown scale-1, commit c1ad8fe); with it 1,500 random
 // schedules pass; spec/session.pml, mutant STOPTIME.
 
@@ -114,7 +114,7 @@
 	}
 }
 
-// acceptStop applies that the worker has accepted a stop, or says that the run has ended already.
+// acceptStop handles a stop that the worker has accepted, or rejected because the run has already ended.
 func (r *Runner) acceptStop(now time.Time, t *task) {
 	t.stopAnswered = now
 	t.resolveAfter = now.Add(r.stopBound())
@@ -130,7 +130,7 @@
 	}
 }
 
-// stopBound returns how long a run may go on after the worker accepted its stop, on this process's clock.
+// stopBound returns how long a run may continue after the worker accepted its stop, on this process's clock.
 func (r *Runner) stopBound() time.Duration {
 	return withDrift(r.limits.Stop)
 }
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -11,11 +11,16 @@
 
 // taskState is the state of a task. A task is queued, or active in one of the other states.
 //
-//	queued -> starting -> running -> stopping -> (finished or queued)
-//	             |                     ^
-//	             +---> checking -------+
+//	queued   -> starting   its resources are free
+//	starting -> running    the worker accepted the start
+//	starting -> queued     the worker rejected the start, and another attempt may succeed
+//	starting -> checking   the start was not answered
+//	checking -> running    the run is listed
+//	checking -> stopping   the run is not listed
+//	active   -> stopping   the entry requested it, its session ended, or a newer session has the task
+//	stopping -> queued     no run is left, and the task has to run again
 //
-// A run that ends by itself finishes its task from any active state.
+// A task can finish from every state.
 type taskState int
 
 const (
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -3,7 +3,10 @@
 
 package worker
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // Resources is what a worker has or a task needs. The zero value is none.
 type Resources struct {
@@ -35,9 +38,9 @@
 	return r.CPU <= into.CPU && r.Memory <= into.Memory && r.GPU <= into.GPU
 }
 
-// Count returns how many times r fits into another amount, but at most the given number.
-func (r Resources) Count(into Resources, most int) int {
-	count := most
+// Count returns how many times r fits into another amount, but at most limit.
+func (r Resources) Count(into Resources, limit int) int {
+	count := limit
 	for _, each := range [...][2]int{{r.CPU, into.CPU}, {r.Memory, into.Memory}, {r.GPU, into.GPU}} {
 		if each[0] > 0 {
 			count = min(count, max(each[1], 0)/each[0])
@@ -49,7 +52,8 @@
 // Record describes an incarnation of a worker, as its heartbeat does.
 type Record struct {
 	// ID identifies the incarnation: a restarted worker has another one.
-	ID      string
+	ID string
+	// Service is the service that the worker provides; each kind of job names the one that it needs.
 	Service string
 	// Zone is the worker's availability zone.
 	Zone     string
@@ -65,12 +69,7 @@
 
 // HasLabel reports whether the worker has a label.
 func (r Record) HasLabel(label string) bool {
-	for _, each := range r.Labels {
-		if each == label {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(r.Labels, label)
 }
 
 // StartRequest starts a run of a task.
@@ -88,8 +87,8 @@
 	Fence uint64
 }
 
-// StopRequest stops the run of a task with that number. The worker also rejects starts of that or a lower number from
-// then on.
+// StopRequest stops the run of a task if its number is Run or lower. From then on the worker rejects starts of the task up
+// to that number, also those that are still under way.
 type StopRequest struct {
 	Name  string
 	Run   uint32
