--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -10,8 +10,8 @@
 	"sailhead/internal/worker"
 )
 
-// logEvent logs an event that changes what the agent knows of sessions and of the worker, and failed calls. The
-// messages are quoted in docs/OPERATIONS.md.
+// logEvent logs an event that changes what the agent knows of sessions and of the worker, and failed calls. Messages and
+// fields that docs/OPERATIONS.md quotes keep older words: hold is a renewal, life an incarnation.
 func (a *Agent) logEvent(event runner.Event) {
 	switch e := event.(type) {
 	case runner.SessionOpened:
@@ -53,7 +53,8 @@
 	if _, isListing := e.Result.(worker.Listing); isListing {
 		return
 	}
-	_ = level.Info(a.logger).Log("msg", "hold not answered", "life", e.Incarnation, "waited", e.LongPoll, "answer", describe(e.Result))
+	_ = level.Info(a.logger).Log("msg", "hold not answered", "life", e.Incarnation,
+		"waited", e.LongPoll, "answer", describe(e.Result))
 }
 
 // logUpdate logs the end of a run, unless it is done.
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// tickSessions pings the entries and ends the sessions whose leases have expired.
+// tickSessions pings the entries and ends the sessions whose leases have expired. docs/OPERATIONS.md and package timeline
+// quote the reason.
 func (r *Runner) tickSessions(now time.Time) {
 	for _, s := range r.sessionsInOrder() {
 		switch {
