--- a/internal/runner/fakeworker_test.go
+++ b/internal/runner/fakeworker_test.go
@@ -4,7 +4,6 @@
 package runner
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
@@ -180,7 +179,3 @@
 	})
 	return listing
 }
-
-func (w *fakeWorker) String() string {
-	return fmt.Sprintf("%s runs=%d", w.id, len(w.runs))
-}
