--- /dev/null
+++ b/internal/runner/supersede_test.go
@@ -0,0 +1,40 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package runner
+
+import (
+	"testing"
+	"time"
+
+	"sailhead/internal/worker"
+)
+
+// The test is listed in KNOWN-RED.txt.
+func TestEverySupersededStartGetsAnOutcome(t *testing.T) {
+	now := time.Unix(1_000_000, 0)
+	r := New(DefaultLimits(time.Second, 50*time.Millisecond), 7)
+	r.Handle(now, HeartbeatReceived{Record: worker.Record{ID: "w", Service: "svc", Capacity: worker.Resources{CPU: 4000}, Sequence: 1, Clock: time.Hour}})
+	outcomes := make(map[SessionID]bool)
+	apply := func(event Event) {
+		for _, effect := range r.Handle(now, event) {
+			if update, ok := effect.(SendUpdate); ok && update.Update.Outcome.IsEnd() {
+				outcomes[update.Session] = true
+			}
+		}
+	}
+	for session := SessionID(1); session <= 3; session++ {
+		apply(SessionOpened{Session: session, Entry: string(rune('a' + session))})
+		apply(StartRequested{Session: session, Number: 1, Task: Task{Name: "t", Run: 1, Needs: worker.Resources{CPU: 1000}}})
+	}
+	now = now.Add(time.Millisecond)
+	apply(RenewAnswered{Incarnation: "w", Sent: now, Result: worker.Listing{
+		Reply: worker.Reply{Clock: time.Hour + time.Millisecond, Received: now},
+		Ended: []worker.End{{Number: 1, Name: "t", Run: 1, Ending: worker.EndingStopped}},
+	}})
+	for session := SessionID(1); session <= 2; session++ {
+		if !outcomes[session] {
+			t.Errorf("the start of session %d was superseded and has no outcome", session)
+		}
+	}
+}
