--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -144,7 +144,7 @@
 	entry, closeEntry := entry.New(entry.Settings{
 		Name: s.Name, Zone: s.Zone, Peers: listeners[2], Seeds: seedsOf(s), StopTimeout: s.StopTimeout, Ring: s.Ring, Jobs: s.Jobs,
 		Durable: platform.NewDurableJobs(store), StoreWrites: s.StoreWrites,
-	}, configurations, platform.NewStoreWatcher(store), logger, metrics)
+	}, configurations, platform.NewStoreWatcher(store, logger), logger, metrics)
 	closeReady := platform.NewReadiness(listeners[1], entry)
 	ingress := platform.NewIngress(listeners[0], configurations.Current, entry)
 	return onPlatform{setSeeds: entry.SetSeeds, stop: func() error {
@@ -202,7 +202,7 @@
 	agent, closeAgent := agent.New(agent.Settings{
 		Name: s.Name, Zone: s.Zone, Sessions: listeners[1], Seeds: seedsOf(s),
 		Limits: runner.DefaultLimits(s.HoldTime, s.StopTime), StopTimeout: s.StopTimeout, Ring: s.Ring,
-	}, worker, platform.NewStoreWatcher(store), logger, metrics)
+	}, worker, platform.NewStoreWatcher(store, logger), logger, metrics)
 	closeHeartbeats := platform.NewHeartbeats(listeners[0], agent)
 	return onPlatform{setSeeds: agent.SetSeeds, stop: func() error {
 		err := closeAgent()
--- a/internal/durable/commit.go
+++ b/internal/durable/commit.go
@@ -92,7 +92,7 @@
 	c.emit(open.commit)
 }
 
-// nextPart takes the next batch off the queue and returns what is to be written for the shard.
+// nextPart takes the next batch off the queue and returns the part of the commit that writes it.
 func (s *shard) nextPart(maxRemovals int) (Part, []*change) {
 	changes := s.nextBatch()
 	part := Part{Shard: s.number, Token: s.token, Sequence: s.nextSequence, Data: encodeBatch(recordsOf(changes))}
--- a/internal/durable/effects.go
+++ b/internal/durable/effects.go
@@ -91,7 +91,7 @@
 const (
 	// DecisionOwned: the shard is served here.
 	DecisionOwned Decision = "shard_owned"
-	// DecisionLost: the shard is not served here any more; the detail says why.
+	// DecisionLost: the shard is not served here any more; the detail is the reason.
 	DecisionLost Decision = "shard_lost"
 	// DecisionReleased: the shard was released at shutdown, and its claim is removed.
 	DecisionReleased Decision = "shard_released"
--- a/internal/durable/job.go
+++ b/internal/durable/job.go
@@ -74,8 +74,8 @@
 //
 // Rule: the job is completed once all tasks are done, and failed once one task has as many failed runs as the kind allows
 // attempts. A failed run counts once, however often it is reported: it is identified by task, number and agent. Runs that
-// were stopped or lost do not count, they are not reported here. The failed runs are stored, so that a new owner goes on
-// counting.
+// were stopped or lost do not count, they are not reported here. The failed runs are stored, so that a new owner
+// continues the count.
 
 // applyEnd records the end of a run, and reports whether it changed anything.
 func (j *job) applyEnd(task uint32, e TaskEnded) bool {
--- a/internal/durable/recovery.go
+++ b/internal/durable/recovery.go
@@ -18,16 +18,16 @@
 //
 // Rule: runs may start
 //
-//	at once                                        if there was no owner, or it released the shard without runs
+//	at once                                        if there was no owner, or it released the shard with no run left
 //	timing.RecoveryDelay from now                  if the owner was this entry's earlier process, at the same address,
 //	                                               or if the owner surrendered, or its address refuses connections
 //	LeaseTime after the claim, and RecoveryDelay   if the owner did not answer
 //
 // Requests are served from the moment the earlier owner has surrendered, failed to answer, or was not there.
 //
-// Reason: an owner that does not answer may be cut off and go on until its lease expires, which is LeaseTime after this
-// entry's claim at the latest, as that claim needed the other lease to be over or its claim removed. Its agents then stop
-// the runs within timing.SessionLease and report ends that were not recorded; RecoveryDelay covers both.
+// Reason: an owner that does not answer may be cut off and still serve the shard. LeaseTime after this entry's claim it has
+// either learned from the store that its own claim is gone, or renewed nothing since and dropped the shard. Its agents then
+// stop the runs within timing.SessionLease and report ends that were not recorded; RecoveryDelay covers both.
 //
 // Measured: trials on a copy of vtf-bokning: a failover takes 2.5 s after a kill and up to 8.5 s after the loss of a VM
 // (docs/FINDINGS.md). The delays themselves were not varied.
@@ -62,7 +62,7 @@
 		c.shardUnreadable(s, err)
 		return
 	}
-	c.succeed(now, s)
+	c.takeOver(now, s)
 }
 
 // shardUnreadable forgets what was decoded of a shard and leaves it loading. The claim is kept, as no entry of this version
@@ -74,8 +74,8 @@
 	c.logDecision(s, DecisionUnreadable, err.Error())
 }
 
-// succeed takes over a loaded shard from its earlier owner.
-func (c *Coordinator) succeed(now time.Time, s *shard) {
+// takeOver starts to serve a loaded shard, or asks its earlier owner to stop first.
+func (c *Coordinator) takeOver(now time.Time, s *shard) {
 	earlier := s.lastOwner
 	switch {
 	case earlier == nil || earlier.Released:
