--- a/internal/durable/durablepb/durable.twirp.go
+++ b/internal/durable/durablepb/durable.twirp.go
@@ -33,19 +33,19 @@
 
 // Keep is served by every entry.
 type Keep interface {
-	// Submit hands a job to the owner of its shard.
+	// Submit sends a job to the owner of its shard. The answer comes once the job is written.
 	Submit(context.Context, *Job) (*Answer, error)
 
-	// State asks for the state of a job.
+	// State returns the state of a job. For an unfinished one the answer may wait for the end.
 	State(context.Context, *JobRequest) (*Answer, error)
 
-	// Cancel ends a job.
+	// Cancel cancels a job. The answer comes once that is written.
 	Cancel(context.Context, *JobRequest) (*Answer, error)
 
-	// Pending counts the jobs of a kind that the entry owns and of which no task has begun.
+	// Pending returns the number of jobs of a kind that the entry owns and that have not started a task.
 	Pending(context.Context, *PendingRequest) (*PendingResponse, error)
 
-	// Surrender makes an entry give a shard up to another that holds its claim now.
+	// Surrender makes an entry stop serving a shard that another entry has claimed.
 	Surrender(context.Context, *SurrenderRequest) (*SurrenderResponse, error)
 }
 
--- a/spec/durable.pml
+++ b/spec/durable.pml
@@ -1,42 +1,42 @@
 /* SPDX-License-Identifier: MIT
  *
- * One shard with one kept job of one task, two entries, one agent's worker and the platform's store. Entry 0 owns the
- * shard first; it may be frozen, cut from the store or killed, and the store may take its claim away. Entry 1 claims the
- * shard then, reads it, has entry 0 give it up or waits for its lease, and runs the task unless the store says that it is
- * done. A commit's answer may be lost, and the commit carried out later while its claim holds. Holds: the task is not done
- * twice, no two runs of it go on at a time, and what was told as done is done for the next owner.
+ * One shard with one durable job of one task, two entries, one agent with its worker, and the platform's store. Entry 0 owns
+ * the shard first. It may be frozen or cut off, and the store may remove its claim at any time. Entry 1 then claims the shard,
+ * reads it, waits until entry 0 has surrendered it or its lease has expired, and runs the task unless the store or the agent
+ * reports its end. The answer to a commit may be lost, and the commit may be carried out later while its claim is in the store.
+ * Checked: the task is never done twice, no two runs of it overlap, and an end that was reported is known to the next owner.
  *
- * Rules and their mutants:
- *   TOKEN      a write rests on the claim's revision
- *   WRITTEN    an end is told, and the worker may forget it, only after it is written
- *   LAPSE      an owner gives its shards up once its lease may have run out
- *   WAITS      a new owner has the earlier one give the shard up, or waits for its lease, before it runs anything
- *   RETELL     the agent tells the new owner of an end that nobody has noted before the task may run again
+ * Rules, each with a mutant that leaves it out:
+ *   TOKEN      a write is made only if the claim has the revision that it was written at
+ *   WRITTEN    an end is reported, and acknowledged to the agent, only after it is written
+ *   LAPSE      an owner stops serving its shards once its lease may have expired
+ *   WAITS      a new owner starts no run before the earlier one has surrendered the shard or its lease has expired
+ *   RETELL     the agent resends unacknowledged ends to the new owner before the task may run again
  */
-#define LEASE 3             /* the time of a lease */
-#define STOP 1              /* the time in which an agent stops the runs of an owner that gave up */
-#define END 9
+#define LEASE 3             /* length of a lease */
+#define STOP 1              /* time within which an agent stops the runs of an owner that stopped serving the shard */
+#define END 9               /* end of the modelled time */
 
 byte now;
-byte claim = 1;             /* revision of the claim in the store: 1 is entry 0's, 2 entry 1's; 0 is none */
-bool ready;                 /* entry 0 owns the shard */
+byte claim = 1;             /* revision of the claim in the store: 1 is entry 0's, 2 is entry 1's, 0 is none */
+bool ready;                 /* entry 0 has started to serve the shard */
 bool written;               /* the end is in the store */
-bool told;                  /* a caller was told of the end, or the worker may forget it */
-byte runs;                  /* runs that go on at the worker */
-byte done;                  /* runs that were done */
-bool unnoted;               /* the agent keeps an end that nobody has noted */
-byte runner = 2;            /* the owner of the run that goes on; 2 is none */
+bool told;                  /* the end was reported to a caller or acknowledged to the agent */
+byte runs;                  /* runs on the worker */
+byte done;                  /* runs that have ended as done */
+bool unacked;               /* the agent keeps an end that no entry has acknowledged */
+byte runner = 2;            /* the entry whose run is on the worker; 2 is none */
 
 bool owns[2];
-bool knows[2];              /* the owner knows of the end */
-byte valid;                 /* entry 0's lease holds before this time, as it believes */
-byte gaveup = 255;          /* when entry 0 gave the shard up */
+bool knows[2];              /* the owner was sent the end */
+byte valid;                 /* when entry 0 must assume that its lease has expired */
+byte stopped_at = 255;      /* when entry 0 stopped serving the shard; 255 is not yet */
 bool frozen;
-bool begun;                 /* entry 0 has begun a run */
-bool late0;                 /* a commit of entry 0 may be carried out later */
-byte claimed_at;
+bool begun;                 /* entry 0 has started a run */
+bool late0;                 /* a commit of entry 0 is in flight, and may be carried out later */
+byte claimed_at;            /* when entry 1 claimed the shard */
 
-/* A living owner gives up in time, and looks at its lease before it does anything. */
+/* An owner that is not frozen drops the shard in time, and checks its lease before it acts. */
 #ifdef LAPSE
 #define obliged false
 #define mayact true
@@ -44,8 +44,8 @@
 #define obliged (owns[0] && !frozen && now >= valid)
 #define mayact (now < valid)
 #endif
-/* The agent ends the runs of an owner that gave up, or that is frozen, in time. */
-#define overdue (runs > 0 && runner == 0 && gaveup != 255 && now >= gaveup + STOP)
+/* The agent stops the runs of an owner that has stopped serving the shard, frozen or not, in time. */
+#define overdue (runs > 0 && runner == 0 && stopped_at != 255 && now >= stopped_at + STOP)
 
 active proctype Time() {
   do
@@ -63,12 +63,12 @@
 /* The agent and its worker. */
 active proctype Agent() {
   do
-  :: atomic { runs > 0 -> runs = 0; runner = 2; done++; unnoted = true; assert(done <= 1) }
-  :: atomic { runs > 0 && runner == 0 && gaveup != 255 -> runs = 0; runner = 2 }
-  :: atomic { unnoted && owns[0] && !frozen -> knows[0] = true }
+  :: atomic { runs > 0 -> runs = 0; runner = 2; done++; unacked = true; assert(done <= 1) }
+  :: atomic { runs > 0 && runner == 0 && stopped_at != 255 -> runs = 0; runner = 2 }
+  :: atomic { unacked && owns[0] && !frozen -> knows[0] = true }
 #ifdef RETELL
 #else
-  :: atomic { unnoted && owns[1] -> knows[1] = true }
+  :: atomic { unacked && owns[1] -> knows[1] = true }
 #endif
   :: now == END -> break
   od
@@ -77,36 +77,36 @@
 active proctype Entry0() {
   atomic { owns[0] = true; valid = LEASE; ready = true };
   do
-  /* the run, which may wait for room */
+  /* the start of the run, which may wait for resources */
   :: atomic { owns[0] && !frozen && !begun && mayact -> begun = true; begin_run(0) }
-  /* a renewal, while the store serves this entry and the claim holds */
+  /* a renewal, which fails if the entry is cut off from the store or its claim is gone */
   :: atomic { owns[0] && !frozen && claim == 1 && now < valid && valid <= 4 -> valid = now + LEASE }
-  :: atomic { owns[0] && !frozen && gaveup == 255 && now < valid -> frozen = true }
+  :: atomic { owns[0] && !frozen && stopped_at == 255 && now < valid -> frozen = true }
   :: atomic { frozen ->
        frozen = false;
 #ifdef LAPSE
 #else
-       if :: owns[0] && now >= valid -> owns[0] = false; if :: gaveup == 255 -> gaveup = now :: else fi :: else fi
+       if :: owns[0] && now >= valid -> owns[0] = false; if :: stopped_at == 255 -> stopped_at = now :: else fi :: else fi
 #endif
      }
   :: atomic { owns[0] && !frozen && now >= valid ->
 #ifdef LAPSE
        skip
 #else
-       owns[0] = false; gaveup = now
+       owns[0] = false; stopped_at = now
 #endif
      }
   /* the commit of the end, whose answer may be lost */
   :: atomic { owns[0] && !frozen && knows[0] && !written ->
        if
 #ifdef TOKEN
-       :: written = true; told = true; unnoted = false
+       :: written = true; told = true; unacked = false
 #else
-       :: claim == 1 -> written = true; told = true; unnoted = false
+       :: claim == 1 -> written = true; told = true; unacked = false
 #endif
        :: late0 = true
 #ifdef WRITTEN
-       :: told = true; unnoted = false
+       :: told = true; unacked = false
 #endif
        :: skip
        fi }
@@ -120,7 +120,7 @@
   od
 }
 
-/* The store takes entry 0's claim away at any moment, also before its lease runs out. */
+/* The store may remove entry 0's claim at any time, also before its lease expires. */
 active proctype Store() {
   atomic { ready && claim == 1 -> claim = 0 }
 }
@@ -128,25 +128,25 @@
 active proctype Entry1() {
   bool read_done;
   atomic { claim == 0 -> claim = 2; claimed_at = now };
-  /* what the store holds is read after the claim */
+  /* the shard is read after it is claimed */
   atomic { read_done = written };
 #ifdef WAITS
 #else
-  /* entry 0 gives the shard up when it is asked, or its lease has run out */
+  /* entry 0 surrenders the shard, does not own it any more, or its lease has expired */
   atomic {
     if
-    :: owns[0] && !frozen -> owns[0] = false; gaveup = now
+    :: owns[0] && !frozen -> owns[0] = false; stopped_at = now
     :: !owns[0] -> skip
-    :: now >= claimed_at + LEASE -> if :: gaveup == 255 -> gaveup = now :: else fi
+    :: now >= claimed_at + LEASE -> if :: stopped_at == 255 -> stopped_at = now :: else fi
     fi };
-  /* the agent stops what ran for it */
-  (now >= gaveup + STOP && (runs == 0 || runner != 0) || now == END);
+  /* the agent has stopped the runs of entry 0 */
+  (now >= stopped_at + STOP && (runs == 0 || runner != 0) || now == END);
 #endif
   atomic { owns[1] = true };
-  /* ends that nobody has noted are told before the task may run */
+  /* unacknowledged ends arrive before the task may run */
 #ifdef RETELL
 #else
-  (!unnoted || knows[1] || now == END);
+  (!unacked || knows[1] || now == END);
 #endif
   atomic {
     if
