--- a/internal/durable/claim.go
+++ b/internal/durable/claim.go
@@ -15,13 +15,13 @@
 //
 // Rule: an entry claims a shard if it has read the store and found no claim, holds a lease, is not shutting down, and has
 // waited claimRankDelay for each entry before it in the shard's order. The store decides between two claims: it takes the
-// first. Claims and their removals apply in the order of their revisions, so that late news of the store changes nothing.
+// first. Claims and their removals apply in the order of their revisions, so that a late report changes nothing.
 //
 // Reason: the order gives each shard one likely owner, spreads the shards over the entries, and keeps the entries from all
 // calling the store when an owner is lost.
 
-// claimRankDelay is the time that an entry leaves each entry before it in a shard's order. Design: longer than a claim and
-// the news of it take; not measured.
+// claimRankDelay is how long an entry waits for each entry before it in a shard's order. Design: longer than a claim takes to
+// be written and reported by the watch; not measured.
 const claimRankDelay = 400 * time.Millisecond
 
 // claimIfDue claims a shard if this entry may.
@@ -113,6 +113,7 @@
 		// The answer to the claim was lost, or comes later.
 		c.claimWon(now, s, claim.Token)
 	case c.isOwn(claim) && claim.Token == s.token:
+		// It is the claim that is held.
 	case s.state == claiming:
 		s.state = unowned
 	case s.isHeld():
--- a/internal/durable/client.go
+++ b/internal/durable/client.go
@@ -27,7 +27,8 @@
 	ownerIdleConnections = 8
 )
 
-// Client sends requests to the owners of shards at other entries. It is safe for concurrent use.
+// Client sends requests to the owners of shards at other entries. It is safe for concurrent use. A failed request is not
+// logged here: the entry logs the answer to a submission, and the other results say what the failure means.
 type Client struct {
 	client *http.Client
 }
--- a/internal/durable/commit.go
+++ b/internal/durable/commit.go
@@ -20,7 +20,8 @@
 // nothing: the shards concerned are lost, and the changes of the others go into the next commit.
 //
 // Reason: requests wait for the commit, so it starts as soon as the rate allows, with all that is queued. An unconfirmed
-// commit may be written; a different one under the same sequences would overwrite what others have read.
+// commit may be written: its repetition meets its own batches then, which tells that it is. A different commit under the same
+// sequences would be taken for written although it is not.
 //
 // Measured: trial on a copy of vtf-bokning: 1.6 calls to the store a job, 10 to 18 ms from a submission to its answer
 // (docs/MEASUREMENTS.md).
--- a/internal/durable/compatibility_test.go
+++ b/internal/durable/compatibility_test.go
@@ -18,8 +18,8 @@
 	"sailhead/internal/worker"
 )
 
-// The batches in testdata were written by the code of commit 6144f75 (package keep). They stand for what lies in the
-// stores of running systems: a change that needs new files there cannot read those systems' jobs.
+// The batches in testdata were written by the code of commit 6144f75 (package keep). Running systems have such
+// batches in their stores: code that needs other files here cannot read their jobs.
 
 const storedID = "00000000000000aa"
 
--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -23,7 +23,8 @@
 //	admission.go  which jobs are accepted
 //	query.go      state queries that wait for the job's end
 //
-// [Client] and [NewServer] carry requests between entries: a caller may ask any entry, only the owner can answer.
+// [Client] and [NewServer] carry requests between entries: a caller may ask any entry, only the owner of the job's shard can
+// answer.
 //
 // # What it relies on
 //
@@ -36,8 +37,8 @@
 //
 //	this process dies       its claims expire with the lease; other entries claim the shards and read the jobs
 //	it is frozen or cut off its lease expires, and it drops its shards before it does anything else (lease.go)
-//	the owner of a shard    callers get NotOwner or InDoubt from the other entries until a new owner serves the shard
-//	the store               nothing is accepted; runs continue until the lease expires, then the shards are dropped;
-//	                        commits are retried until the store answers
+//	the owner of a shard    other entries answer NotOwner or InDoubt for its jobs until a new owner serves the shard
+//	the store               nothing is accepted, and commits are repeated; runs continue until the lease expires, then the
+//	                        shards are dropped
 //	an agent                the dispatcher waits timing.DurableRerunDelay for it, then runs its tasks elsewhere
 package durable
--- a/internal/durable/ends.go
+++ b/internal/durable/ends.go
@@ -30,8 +30,10 @@
 	j, ok := s.jobs[id]
 	switch {
 	case !c.active && c.storeRead:
+		// There are no durable jobs.
 		c.emit(acknowledgement)
 	case !s.isLoaded():
+		// The owner of the shard acknowledges the end, or this entry does when the agent resends it.
 	case !ok || j.storedState.IsEnd():
 		c.emit(acknowledgement)
 	case j.state.IsEnd():
--- a/internal/durable/recovery.go
+++ b/internal/durable/recovery.go
@@ -23,7 +23,8 @@
 //	                                               or if the owner surrendered, or its address refuses connections
 //	LeaseTime after the claim, and RecoveryDelay   if the owner did not answer
 //
-// Requests are served from the moment the earlier owner has surrendered, failed to answer, or was not there.
+// State queries are answered once the shard is loaded. Jobs are accepted and cancelled once the earlier owner has surrendered
+// or failed to answer, or at once if there is none to call.
 //
 // Reason: an owner that does not answer may be cut off and still serve the shard. LeaseTime after this entry's claim it has
 // either learned from the store that its own claim is gone, or renewed nothing since and dropped the shard. Its agents then
