--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package durable runs jobs that survive the loss of any process: what was accepted and what has ended is written to the
+// Package durable owns the jobs that survive the loss of any process: what was accepted and what has ended is written to the
 // platform's store before it is reported to callers or acknowledged to agents.
 //
 // # What it owns
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -9,7 +9,7 @@
 type Shard uint8
 
 // Shards is the number of shards. It is part of the stored format: with another number, stored jobs would be looked for in
-// the wrong shard. Design: more than the entries of any site, so that all of them can own shards; not varied in a run.
+// the wrong shard. It bounds the number of entries that can own durable jobs. Not varied in a run.
 const Shards = 16
 
 // ShardOf returns the shard of a job by its id.
--- a/internal/durable/ends.go
+++ b/internal/durable/ends.go
@@ -20,7 +20,7 @@
 //	                             that the shard's owner gets it, and gets it again.
 //
 // Reason: an end that is acknowledged and not written would be lost with this process, and the task would run again although
-// it was done. Measured: spec/durable.pml breaks with the rule WRITTEN left out; seeds of the soak in docs/FINDINGS.md.
+// it was done. Checked by a model: spec/durable.pml fails with the rule WRITTEN left out.
 
 // taskEnded records the end of a run and acknowledges it once it is written.
 func (c *Coordinator) taskEnded(e TaskEnded) {
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -15,7 +15,8 @@
 	"sailhead/internal/worker"
 )
 
-// PackJob returns the stored form of a job, in which entries also send it to each other. Negative numbers become 0.
+// PackJob returns the stored form of a job, in which entries also send it to each other. A negative
+// priority, number of attempts or target becomes 0.
 func PackJob(j dispatch.Job) *durablepb.Job {
 	packed := &durablepb.Job{
 		Id: j.ID, Kind: j.Kind.Name, Service: j.Kind.Service, Payload: j.Payload, Stretch: j.Kind.Stretch,
