--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -110,7 +110,7 @@
 	e, closeEntry := entry.New(entry.Settings{
 		Name: s.Name, Zone: s.Zone, Peers: listeners[2], Seeds: s.SeedAddresses(), StopTimeout: s.StopTimeout, Ring: s.Ring, Jobs: s.Jobs,
 		Durable: platform.NewDurableJobs(store), StoreWrites: s.StoreWrites,
-	}, configurations, platform.NewStoreWatcher(store), logger, metrics)
+	}, configurations, platform.NewStoreWatcher(store, logger), logger, metrics)
 	closeReady := platform.NewReadiness(listeners[1], e)
 	ingress := platform.NewIngress(listeners[0], configurations.Current, e, logger)
 	return onPlatform{setSeeds: e.SetSeeds, stop: func() error {
