--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -4,7 +4,6 @@
 package dispatch
 
 import (
-	"fmt"
 	"time"
 
 	"sailhead/internal/worker"
@@ -89,7 +88,7 @@
 	for i, step := range j.Steps {
 		j.open[i] = step.Count
 		for k := range step.Count {
-			j.tasks = append(j.tasks, &task{name: fmt.Sprintf("%s.0.%d.%d", j.ID, i, k), step: i})
+			j.tasks = append(j.tasks, &task{name: TaskName(j.ID, i, k), step: i})
 		}
 	}
 	return j
--- a/internal/dispatch/task.go
+++ b/internal/dispatch/task.go
@@ -4,6 +4,7 @@
 package dispatch
 
 import (
+	"fmt"
 	"strings"
 	"time"
 )
@@ -60,6 +61,12 @@
 	return t.state == taskPending && now.Before(t.notBefore)
 }
 
+// TaskName returns the name of a task: ID.0.STEP.INDEX, with the job's id and the indexes of the step and of the task in it.
+// The platform's workers know tasks by this name; the 0 stands for the first time of a job that does not repeat.
+func TaskName(job string, step, index int) string {
+	return fmt.Sprintf("%s.0.%d.%d", job, step, index)
+}
+
 // JobOf returns the id of the job from the name of one of its tasks.
 func JobOf(task string) string {
 	job, _, _ := strings.Cut(task, ".")
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -61,7 +61,7 @@
 	var names []string
 	for i, step := range j.Steps {
 		for c := range step.Count {
-			names = append(names, fmt.Sprintf("%s.0.%d.%d", j.ID, i, c))
+			names = append(names, dispatch.TaskName(j.ID, i, c))
 		}
 	}
 	return names
