--- a/internal/entry/decider.go
+++ b/internal/entry/decider.go
@@ -61,13 +61,13 @@
 	}
 }
 
-// drain performs the queued effects and those that they lead to.
+// drain performs the queued effects and those that they lead to, which are queued behind them.
 func (d *decider) drain() {
-	for len(d.queue) > 0 {
-		next := d.queue[0]
-		d.queue = d.queue[1:]
-		d.apply(next)
+	for i := 0; i < len(d.queue); i++ {
+		d.apply(d.queue[i])
 	}
+	clear(d.queue)
+	d.queue = d.queue[:0]
 }
 
 // apply hands an effect of one state machine to the other, or performs it.
