--- a/internal/native/daemon/agent.go
+++ b/internal/native/daemon/agent.go
@@ -55,7 +55,7 @@
 	})
 	table := ownership.NewTable(n.self.ID, n.limits(s.Submissions))
 	view := placement.NewView(n.self.ID, s.Zone, policy, newRandom())
-	a.owner = newOwnerDuty(n, owner.New(table, view, owner.Bounces{Most: s.Bounces, Wait: s.BounceWait}, newRandom()), a.guard)
+	a.owner = newOwnerDuty(n, owner.New(table, view, owner.Bounces{Max: s.Bounces, MaxWait: s.BounceWait}, newRandom()), a.guard)
 	a.start()
 	_ = level.Info(n.part("agent")).Log("msg", "guarding the worker", "backend", s.BackendAddress, "peers", n.self.Address)
 	return a, a.stop, nil
--- a/internal/native/daemon/start_task.go
+++ b/internal/native/daemon/start_task.go
@@ -47,7 +47,7 @@
 		return model.TaskNotStarted{Reason: "the agent is not on the roster", Unreachable: true}
 	}
 	d.node.metrics.Add(metric.MessagesNeeded, 2)
-	stopWatching := d.node.watch(ctx, member, func() { d.tell(owner.GuardSilent{Guard: id}) })
+	stopWatching := d.node.watch(ctx, member, func() { d.tell(owner.GuardUnresponsive{Guard: id}) })
 	outcome, load, err := d.peers.Start(ctx, member, task)
 	stopWatching()
 	switch {
--- a/internal/native/daemon/watch.go
+++ b/internal/native/daemon/watch.go
@@ -23,9 +23,9 @@
 		if n.liveness.BeginProbe(member.ID) {
 			n.probe(ctx, member, onSilent)
 		}
-		time.AfterFunc(membership.Silence, look)
+		time.AfterFunc(membership.ResponseTimeout, look)
 	}
-	timer := time.AfterFunc(membership.Silence, look)
+	timer := time.AfterFunc(membership.ResponseTimeout, look)
 	return func() {
 		timer.Stop()
 		cancel()
@@ -34,7 +34,7 @@
 
 // probe exchanges gossip with a silent process.
 func (n *node) probe(ctx context.Context, member ownership.Member, onSilent func()) {
-	probeCtx, cancel := context.WithTimeout(n.context, membership.Silence)
+	probeCtx, cancel := context.WithTimeout(n.context, membership.ResponseTimeout)
 	defer cancel()
 	err := n.ping(probeCtx, member.Address)
 	n.liveness.EndProbe(member.ID, err == nil)
--- a/internal/native/gossip/exchange.go
+++ b/internal/native/gossip/exchange.go
@@ -19,7 +19,7 @@
 )
 
 // sampledLoads is the largest number of loads in one message.
-const sampledLoads = 3
+const maxLoads = 3
 
 const exchangeTimeout = 800 * time.Millisecond
 
@@ -145,7 +145,7 @@
 		m.Worker = string(id)
 		messages = append(messages, m)
 	}
-	for id, load := range e.state.sampleLoads(sampledLoads) {
+	for id, load := range e.state.sampleLoads(maxLoads) {
 		if id != e.self {
 			add(id, load)
 		}
--- a/internal/native/gossip/news.go
+++ b/internal/native/gossip/news.go
@@ -22,7 +22,7 @@
 const WholeDocument = math.MaxUint64
 
 // maxDocument is the largest document read from a peer, in bytes.
-const maxDocument = 16 << 20
+const maxDocumentSize = 16 << 20
 
 // news is what one process knows and another lacks, as compressed JSON; parts that are not newer are empty.
 type news struct {
@@ -122,7 +122,7 @@
 	if err != nil {
 		return errors.Wrap(err, "gossip: unable to read a document")
 	}
-	if err := json.NewDecoder(io.LimitReader(reader, maxDocument)).Decode(document); err != nil {
+	if err := json.NewDecoder(io.LimitReader(reader, maxDocumentSize)).Decode(document); err != nil {
 		return errors.Wrap(err, "gossip: unable to read a document")
 	}
 	return nil
--- a/internal/native/guard/guard.go
+++ b/internal/native/guard/guard.go
@@ -120,9 +120,9 @@
 	// mean is the mean service time of all kinds, the latest weighing most.
 	mean time.Duration
 	// progressed is when a task last ended, or the last free slot was taken.
-	progressed time.Time
+	lastProgress time.Time
 	// forgotten is when old records were last looked for.
-	forgotten time.Time
+	lastCleanUp time.Time
 }
 
 // meanWeight is the number of tasks over which the mean service time is taken.
@@ -130,8 +130,8 @@
 
 // A worker is stuck when it ends no task for stuckFactor mean service times, and leastPatience at least.
 const (
-	stuckFactor   = 4
-	leastPatience = 500 * time.Millisecond
+	stuckFactor     = 4
+	minStuckTimeout = 500 * time.Millisecond
 )
 
 // forgetShare is the part of the retention after which old records are looked for again.
@@ -233,7 +233,7 @@
 	estimate := g.estimator.Of(task.Kind, task.Expected)
 	load := g.Load(now)
 	wait := admission.Wait(load, task.Urgency)
-	refusal := model.TaskNotStarted{RetryAfter: admission.ComeBack(wait, g.random)}
+	refusal := model.TaskNotStarted{RetryAfter: admission.RetryAfter(wait, g.random)}
 	switch {
 	case g.isStuck(now):
 		refusal.Reason = "the backend server ends no tasks"
@@ -284,7 +284,7 @@
 		return nil
 	}
 	g.running--
-	g.progressed = now
+	g.lastProgress = now
 	r.state = stateEnded
 	r.outcome = ended.Outcome
 	r.task.Payload = nil
@@ -306,7 +306,7 @@
 		r.started = now
 		g.running++
 		if g.running == g.limits.Slots {
-			g.progressed = now
+			g.lastProgress = now
 		}
 		effects = append(effects, RunTask{Task: r.task})
 	}
@@ -317,7 +317,7 @@
 func (g *Guard) dropLate(now time.Time) []Effect {
 	var effects []Effect
 	isStuck := g.isStuck(now)
-	late := g.queue.overdue(func(task Task) bool {
+	late := g.queue.filter(func(task Task) bool {
 		if isStuck {
 			return true
 		}
@@ -333,7 +333,7 @@
 }
 
 func (g *Guard) tick(now time.Time) []Effect {
-	if now.Sub(g.forgotten) >= g.limits.Retention/forgetShare {
+	if now.Sub(g.lastCleanUp) >= g.limits.Retention/forgetShare {
 		g.forget(now)
 	}
 	return g.fillSlots(now)
@@ -341,13 +341,13 @@
 
 // isStuck reports whether all slots are taken and no task has ended for much longer than tasks take.
 func (g *Guard) isStuck(now time.Time) bool {
-	patience := max(stuckFactor*g.mean, leastPatience)
-	return g.running >= g.limits.Slots && now.Sub(g.progressed) > patience
+	patience := max(stuckFactor*g.mean, minStuckTimeout)
+	return g.running >= g.limits.Slots && now.Sub(g.lastProgress) > patience
 }
 
 // forget drops the records whose deadline lies further back than the retention.
 func (g *Guard) forget(now time.Time) {
-	g.forgotten = now
+	g.lastCleanUp = now
 	before := now.Add(-g.limits.Retention)
 	for id, r := range g.records {
 		if r.state >= stateEnded && r.task.Deadline.Before(before) {
--- a/internal/native/guard/queue.go
+++ b/internal/native/guard/queue.go
@@ -45,7 +45,7 @@
 func (q *queue) remove(r *record) { heap.Remove(q, r.position) }
 
 // overdue returns the waiting tasks for which the test holds.
-func (q queue) overdue(test func(Task) bool) []*record {
+func (q queue) filter(test func(Task) bool) []*record {
 	var late []*record
 	for _, r := range q {
 		if test(r.task) {
--- a/internal/native/membership/liveness.go
+++ b/internal/native/membership/liveness.go
@@ -11,31 +11,48 @@
 )
 
 const (
-	// Silence is how long a process that owes an answer may say nothing before it is probed.
-	Silence = 400 * time.Millisecond
-	// suspicionTime is how long a process that failed a probe is avoided unless it is heard again.
-	suspicionTime = 3 * time.Second
+	// ResponseTimeout is how long a process with a response due may send nothing before it is probed, and how long the
+	// probe waits for its answer. Measured in commit 57e8035 together with suspicionTimeout.
+	ResponseTimeout = 400 * time.Millisecond
+	// suspicionTimeout is how long a process that failed a probe is suspected, unless it is heard from before. After it new
+	// work goes there again and is probed again. Measured in commit 57e8035 together with ResponseTimeout.
+	suspicionTimeout = 3 * time.Second
 )
 
-// Liveness remembers which processes have been heard lately and which failed a probe. Suspicion only
-// steers new work away; it is never taken as proof of death. It is safe for concurrent use.
+// Liveness records which processes were heard from lately and which failed a probe. It is safe for concurrent use.
+//
+// Inputs: the time of the last message of each process, and the outcome of its last probe.
+//
+// Rule: a process that a response is due from is probed when nothing was heard from it for ResponseTimeout, by one probe
+// at a time. After a failed probe it is suspected for suspicionTimeout, or until something is heard from it.
+//
+// Reason: suspicion only steers new work elsewhere. It removes nobody and moves no key, as a process that does not respond
+// may continue later. A probe is sent only where somebody waits, so that idle processes cost nothing.
+//
+// Measured: commit 57e8035, real processes under faults alone and in pairs. With an agent frozen, runs took 5.9 to 11.5 s
+// before, as answers came late until the end of the deadlines of 5 s. After it the last answer that was not
+// complete came within 2 s of the fault, but for two runs of 36 (5.3 s).
 type Liveness struct {
 	mu    sync.Mutex
 	peers map[ownership.MemberID]*contact
 	now   func() time.Time
 }
 
+// contact is what is known of one process.
 type contact struct {
-	heard     time.Time
-	suspected time.Time
-	isProbed  bool
+	// heard is when the process was last heard from.
+	heard time.Time
+	// suspectedUntil is zero while the process is not suspected.
+	suspectedUntil time.Time
+	isProbed       bool
 }
 
-// NewLiveness returns a liveness that has heard nobody and reads the time from the clock.
+// NewLiveness returns a Liveness without records that reads the time by calling now.
 func NewLiveness(now func() time.Time) *Liveness {
 	return &Liveness{peers: make(map[ownership.MemberID]*contact), now: now}
 }
 
+// of returns the contact of a process, a new one if there is none.
 func (l *Liveness) of(id ownership.MemberID) *contact {
 	c, ok := l.peers[id]
 	if !ok {
@@ -45,55 +62,55 @@
 	return c
 }
 
-// Heard notes a word of a process and ends its suspicion.
+// Heard records a message from a process and ends its suspicion.
 func (l *Liveness) Heard(id ownership.MemberID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.of(id)
 	c.heard = l.now()
-	c.suspected = time.Time{}
+	c.suspectedUntil = time.Time{}
 }
 
-// BeginProbe reports whether a silent process should be probed now; only one probe runs at a time.
+// BeginProbe reports whether a process should be probed now. If so, the caller must call EndProbe.
 func (l *Liveness) BeginProbe(id ownership.MemberID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.of(id)
-	if c.isProbed || l.now().Sub(c.heard) < Silence {
+	if c.isProbed || l.now().Sub(c.heard) < ResponseTimeout {
 		return false
 	}
 	c.isProbed = true
 	return true
 }
 
-// EndProbe notes the outcome of a probe.
+// EndProbe records the outcome of a probe.
 func (l *Liveness) EndProbe(id ownership.MemberID, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.of(id)
 	c.isProbed = false
-	c.suspected = time.Time{}
+	c.suspectedUntil = time.Time{}
 	if answered {
 		c.heard = l.now()
 		return
 	}
-	c.suspected = l.now().Add(suspicionTime)
+	c.suspectedUntil = l.now().Add(suspicionTimeout)
 }
 
-// Suspects returns the processes to avoid for new work.
+// Suspects returns the processes that should get no new work, in no particular order.
 func (l *Liveness) Suspects() []ownership.MemberID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var suspects []ownership.MemberID
 	for id, c := range l.peers {
-		if l.now().Before(c.suspected) {
+		if l.now().Before(c.suspectedUntil) {
 			suspects = append(suspects, id)
 		}
 	}
 	return suspects
 }
 
-// Keep forgets the processes that the roster does not list.
+// Keep removes the records of processes that the roster does not list.
 func (l *Liveness) Keep(roster ownership.Roster) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/native/membership/liveness_test.go
+++ b/internal/native/membership/liveness_test.go
@@ -11,16 +11,16 @@
 	"sailhead/internal/native/ownership"
 )
 
-func TestLiveness(t *testing.T) {
+func TestUnresponsiveProcessesAreProbedAndSuspected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLiveness(time.Now)
 		l.Heard("a")
 		if l.BeginProbe("a") {
-			t.Error("a process just heard is probed")
+			t.Error("a process that was just heard from is probed")
 		}
-		time.Sleep(Silence)
+		time.Sleep(ResponseTimeout)
 		if !l.BeginProbe("a") || l.BeginProbe("a") {
-			t.Error("a silent process must be probed, by one probe at a time")
+			t.Error("got no probe of an unresponsive process, or two at a time")
 		}
 		l.EndProbe("a", false)
 		if got := l.Suspects(); len(got) != 1 || got[0] != "a" {
@@ -28,12 +28,12 @@
 		}
 		l.Heard("a")
 		if got := l.Suspects(); len(got) != 0 {
-			t.Errorf("got suspects %v after a word", got)
+			t.Errorf("got suspects %v after a message from the process", got)
 		}
 		l.EndProbe("b", false)
-		time.Sleep(suspicionTime)
+		time.Sleep(suspicionTimeout)
 		if got := l.Suspects(); len(got) != 0 {
-			t.Errorf("got suspects %v after the suspicion", got)
+			t.Errorf("got suspects %v after suspicionTimeout", got)
 		}
 		l.EndProbe("b", false)
 		l.Keep(ownership.Roster{})
--- a/internal/native/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -1,8 +1,6 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package membership keeps a process on the roster: it joins, acknowledges, reads the platform's
-// list of VMs and leaves.
 package membership
 
 import (
@@ -33,16 +31,13 @@
 	return keyRosterPrefix + region
 }
 
-const (
-	retryPause = 300 * time.Millisecond
-	// readerLease is how long the reader of the list of VMs keeps its turn.
-	readerLease = 10 * time.Second
-)
+// retryDelay is the pause after a failed call to the platform. Not measured; the platform's limits are on calls a second.
+const retryDelay = 300 * time.Millisecond
 
-// ErrRosterMoved says that the roster changed between a hand-over and the leave that needs it.
+// ErrRosterMoved is returned by Leave if the roster has changed since the hand-over. The hand-over must be made again.
 var ErrRosterMoved = errors.New("membership: the roster has changed since the hand-over")
 
-// Membership is one process's place on the roster.
+// Membership maintains the place of one process on the roster. Its methods may be called concurrently.
 type Membership struct {
 	self          ownership.Member
 	region        string
@@ -56,9 +51,9 @@
 	logger        log.Logger
 }
 
-// Times are the times that membership goes by.
+// Times are the settings of a Membership.
 type Times struct {
-	// Retention is how long removed members stay on the roster.
+	// Retention is how long removed members stay on the roster; keys that were issued before are accepted no longer.
 	Retention time.Duration
 	// ListLag is the longest lag of the platform's list of VMs.
 	ListLag time.Duration
@@ -80,7 +75,7 @@
 	}
 }
 
-// Join puts the process on the roster; it tries until it succeeds or the context ends.
+// Join adds the process to the roster. It retries until it succeeds or the context ends.
 func (m *Membership) Join(ctx context.Context) error {
 	for {
 		err := m.change(ctx, func(r ownership.Roster) (ownership.Roster, error) {
@@ -92,7 +87,7 @@
 		}
 		m.metrics.Add(metric.PlatformFailures, 1)
 		_ = level.Warn(m.logger).Log("msg", "unable to join the roster", "err", err)
-		if err := sleep(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryDelay); err != nil {
 			return err
 		}
 	}
@@ -104,7 +99,8 @@
 	return ok && self.IsListed()
 }
 
-// Leave takes the process off the roster after a hand-over under the epoch given.
+// Leave removes the process from the roster after a hand-over under the given epoch. It returns ErrRosterMoved if the roster
+// has another epoch by now. The heir is empty for an agent.
 func (m *Membership) Leave(ctx context.Context, heir ownership.MemberID, epoch uint64) error {
 	return m.change(ctx, func(r ownership.Roster) (ownership.Roster, error) {
 		if self, ok := r.MemberByID(m.self.ID); !ok || !self.IsListed() {
@@ -132,7 +128,7 @@
 	return nil
 }
 
-// change applies a change to the roster and takes the result into the state.
+// change applies a change to the roster in the platform, and then the result to the state.
 func (m *Membership) change(ctx context.Context, change func(ownership.Roster) (ownership.Roster, error)) error {
 	roster, _, err := m.roster.Update(ctx, func(old ownership.Roster) (ownership.Roster, error) {
 		next, err := change(old)
@@ -148,7 +144,7 @@
 	return nil
 }
 
-// Acknowledge tells the roster which epoch this entry uses; it runs until the context ends.
+// Acknowledge writes the epochs that this entry uses to the roster until the context ends.
 func (m *Membership) Acknowledge(ctx context.Context, epochs <-chan uint64) {
 	for {
 		select {
@@ -160,6 +156,7 @@
 	}
 }
 
+// acknowledge writes one epoch to the roster and retries until it succeeds or the context ends.
 func (m *Membership) acknowledge(ctx context.Context, epoch uint64) {
 	for ctx.Err() == nil {
 		err := m.change(ctx, func(r ownership.Roster) (ownership.Roster, error) {
@@ -173,7 +170,7 @@
 		}
 		m.metrics.Add(metric.PlatformFailures, 1)
 		_ = level.Warn(m.logger).Log("msg", "unable to acknowledge the epoch", "epoch", epoch, "err", err)
-		_ = sleep(ctx, retryPause)
+		_ = sleep(ctx, retryDelay)
 	}
 }
 
@@ -187,13 +184,14 @@
 	watch(ctx, m, m.configuration, func(c configuration.Configuration) { m.state.SeeConfiguration(c) })
 }
 
+// watch calls see with each newer value of a document until the context ends.
 func watch[T any](ctx context.Context, m *Membership, document keyvalue.Document[T], see func(T)) {
 	var after uint64
 	for ctx.Err() == nil {
 		value, revision, err := document.Watch(ctx, after)
 		if err != nil {
 			m.metrics.Add(metric.PlatformFailures, 1)
-			_ = sleep(ctx, retryPause)
+			_ = sleep(ctx, retryDelay)
 			continue
 		}
 		if revision > after {
@@ -203,6 +201,7 @@
 	}
 }
 
+// sleep waits for the pause or the end of the context, and returns the error of the context.
 func sleep(ctx context.Context, pause time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/native/membership/list.go
+++ b/internal/native/membership/vms.go
@@ -15,10 +15,14 @@
 	"sailhead/internal/native/ownership"
 )
 
-// ReadList brings the roster in line with the platform's list of VMs until the context ends.
+// listReaderLease is the lease of the entry that reads the list of VMs. After its death no entry reads for that long,
+// which delays removals. Not measured.
+const listReaderLease = 10 * time.Second
+
+// ReadList applies the platform's list of VMs to the roster at each interval until the context ends.
 //
-// One entry at a time reads the list, under a lease that saves readings and guards nothing:
-// every change of the roster is a compare-and-swap that holds whoever makes it.
+// One entry at a time reads the list, under a lease. The lease only saves requests to the platform: changes of the roster
+// are compare-and-swaps, and correct if several entries read.
 func (m *Membership) ReadList(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -29,11 +33,11 @@
 			return
 		case <-ticker.C:
 		}
-		held, err := m.holdTurn(ctx, lease)
-		if err == nil && held != "" {
-			err = m.readList(ctx)
+		var err error
+		lease, err = m.renewReaderLease(ctx, lease)
+		if err == nil && lease != "" {
+			err = m.applyVMs(ctx)
 		}
-		lease = held
 		if err != nil {
 			m.metrics.Add(metric.PlatformFailures, 1)
 			_ = level.Debug(m.logger).Log("msg", "unable to read the list of VMs", "err", err)
@@ -41,8 +45,8 @@
 	}
 }
 
-// holdTurn keeps or takes the turn to read the list; an empty lease means that another entry has it.
-func (m *Membership) holdTurn(ctx context.Context, lease keyvalue.LeaseID) (keyvalue.LeaseID, error) {
+// renewReaderLease renews the lease of the reader, or acquires it if no entry has it. It returns "" if another entry has it.
+func (m *Membership) renewReaderLease(ctx context.Context, lease keyvalue.LeaseID) (keyvalue.LeaseID, error) {
 	if lease != "" {
 		err := m.platform.KeepAlive(ctx, lease)
 		if !errors.Is(err, keyvalue.ErrLeaseLapsed) {
@@ -52,7 +56,7 @@
 	if _, err := m.platform.Get(ctx, keyListReaderPrefix+m.region); !errors.Is(err, keyvalue.ErrNotFound) {
 		return "", err
 	}
-	lease, err := m.platform.Grant(ctx, readerLease)
+	lease, err := m.platform.Grant(ctx, listReaderLease)
 	if err != nil {
 		return "", err
 	}
@@ -63,7 +67,8 @@
 	return lease, err
 }
 
-func (m *Membership) readList(ctx context.Context) error {
+// applyVMs reads the list of VMs once, applies it to the roster, and removes old members from the roster.
+func (m *Membership) applyVMs(ctx context.Context) error {
 	vms, err := m.platform.VMs(ctx)
 	if err != nil {
 		return err
@@ -78,8 +83,19 @@
 	})
 }
 
-// applyList marks the members that the list shows, and removes those that it showed and shows no longer.
-// A member younger than the list's lag is left alone: the list may still speak of an earlier VM at its address.
+// applyList returns the roster with the members marked or removed that a list of VMs shows as leaving or gone.
+//
+// Inputs: the roster, the list of VMs with the state of each, the time, and the longest lag of the list.
+//
+// Rule: a listed member whose VM is on the list is marked as seen, and as leaving if the VM is; leaving is never undone. A
+// member that was seen and whose VM is no longer on the list is dead. Members that joined less than the lag ago are
+// left alone.
+//
+// Reason: a member that was never seen may have joined before the list shows its VM. For the time of the lag the list may
+// still show an earlier VM at the address. A process that does not respond is no proof of death: a removed agent's
+// keys may start elsewhere, so a removed agent that runs on could start them twice.
+//
+// Measured: no; the lag is a setting.
 func applyList(r ownership.Roster, vms []keyvalue.VM, now time.Time, lag time.Duration) (ownership.Roster, error) {
 	shown := make(map[string]keyvalue.VMState, len(vms))
 	for _, vm := range vms {
--- a/internal/native/membership/list_test.go
+++ b/internal/native/membership/vms_test.go
@@ -11,7 +11,7 @@
 	"sailhead/internal/native/ownership"
 )
 
-func TestApplyList(t *testing.T) {
+func TestApplyListRemovesOnlyMembersThatWereSeen(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	const lag = 30 * time.Second
 	r := ownership.Roster{}.WithJoined(ownership.Member{ID: "a#1", Address: "a", Role: ownership.RoleAgent}, start)
@@ -28,13 +28,13 @@
 		}
 		r = next
 	}
-	step("never shown is no proof of death", time.Hour, nil, true, false)
-	// Another VM at the address may be what a young member's list shows.
+	step("never shown", time.Hour, nil, true, false)
+	// The list may still show an earlier VM at the address.
 	r = ownership.Roster{}.WithJoined(ownership.Member{ID: "a#1", Address: "a", Role: ownership.RoleAgent}, start)
 	step("shown within the lag", time.Second, listed, true, false)
 	step("not shown within the lag", 2*time.Second, nil, true, false)
 	step("shown", lag, listed, true, false)
 	step("leaving", lag+time.Second, []keyvalue.VM{{Address: "a", State: keyvalue.VMLeaving}}, true, true)
-	step("leaving is not taken back", lag+2*time.Second, listed, true, true)
-	step("shown before and no longer is dead", lag+3*time.Second, nil, false, true)
+	step("live again after leaving", lag+2*time.Second, listed, true, true)
+	step("shown before and no longer", lag+3*time.Second, nil, false, true)
 }
--- a/internal/native/owner/event.go
+++ b/internal/native/owner/event.go
@@ -1,10 +1,6 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package owner runs the submissions that an agent owns: it takes them, places their tasks,
-// gathers the results and answers.
-//
-// It is a state machine without I/O: events go in, effects come out.
 package owner
 
 import (
@@ -15,10 +11,11 @@
 	"sailhead/internal/native/ownership"
 )
 
-// Waiter names a request that waits for a response.
+// Waiter identifies a request that waits for a response.
 type Waiter uint64
 
-// Event is what happens to an owner; the types below are all there are.
+// Event is an input of the owner. It is one of Offered, FenceAnswered, TaskEnded, DeadlinePassed, RosterSeen,
+// ConfigurationSeen, LoadSeen, GuardUnresponsive, Inherited, LeaveAsked and Ticked.
 type Event interface{ isEvent() }
 
 // Offered is a submission that an entry forwards.
@@ -27,7 +24,8 @@
 	Waiter Waiter
 }
 
-// FenceAnswered is an entry's verdict, or CannotTell if it gave none in time.
+// FenceAnswered is the verdict of an entry that AskFence asked, and the epoch that the entry used. The verdict is
+// CannotTell if the entry did not answer in time.
 type FenceAnswered struct {
 	Key     model.Key
 	Entry   ownership.MemberID
@@ -35,20 +33,20 @@
 	Epoch   uint64
 }
 
-// TaskEnded is the outcome of a task at a guard.
+// TaskEnded is the outcome of a task at a guard. There is one for each StartTask.
 type TaskEnded struct {
 	Task    model.TaskID
 	Guard   ownership.MemberID
 	Outcome model.Outcome
 }
 
-// DeadlinePassed ends a job that has no answer yet.
+// DeadlinePassed reports that the time of a WatchDeadline has come.
 type DeadlinePassed struct{ Key model.Key }
 
-// RosterSeen is a roster from the platform or a peer.
+// RosterSeen is a roster from the platform or a peer; it may be older than the one in use.
 type RosterSeen struct{ Roster ownership.Roster }
 
-// ConfigurationSeen is a configuration from the platform or a peer.
+// ConfigurationSeen is a configuration from the platform or a peer; it may be older than the one in use.
 type ConfigurationSeen struct{ Configuration configuration.Configuration }
 
 // LoadSeen is the load that a guard reported.
@@ -57,19 +55,20 @@
 	Load  model.Load
 }
 
-// GuardSilent says that a guard that owes an answer has failed a probe.
-type GuardSilent struct{ Guard ownership.MemberID }
+// GuardUnresponsive reports that a guard with an outcome due did not answer a probe.
+type GuardUnresponsive struct{ Guard ownership.MemberID }
 
-// Inherited is the table of a leaving owner.
+// Inherited is the submission table of an owner that leaves. Done is called while the event is handled, with false if
+// the records were not taken.
 type Inherited struct {
 	Records []ownership.Record
 	Done    func(ok bool)
 }
 
-// LeaveAsked makes the owner decline new submissions.
+// LeaveAsked begins the planned stop of this owner: from then on it declines new submissions.
 type LeaveAsked struct{}
 
-// Ticked lets time pass.
+// Ticked is sent at intervals; records of old submissions are removed then.
 type Ticked struct{}
 
 func (Offered) isEvent()           {}
@@ -79,21 +78,22 @@
 func (RosterSeen) isEvent()        {}
 func (ConfigurationSeen) isEvent() {}
 func (LoadSeen) isEvent()          {}
-func (GuardSilent) isEvent()       {}
+func (GuardUnresponsive) isEvent() {}
 func (Inherited) isEvent()         {}
 func (LeaveAsked) isEvent()        {}
 func (Ticked) isEvent()            {}
 
-// Effect is what an owner wants done; the types below are all there are.
+// Effect is an action for the caller of Handle. It is one of Respond, AskFence, StartTask, WithdrawTask and
+// WatchDeadline.
 type Effect interface{ isEffect() }
 
-// Respond answers requests.
+// Respond sends a response to the requests of an offer.
 type Respond struct {
 	Waiters  []Waiter
 	Response Response
 }
 
-// AskFence asks an entry to send the key to no other owner.
+// AskFence asks an entry to promise that it sends the key to no other owner. A verdict after Until is useless.
 type AskFence struct {
 	Key   model.Key
 	Entry ownership.Member
@@ -101,7 +101,8 @@
 	Until time.Time
 }
 
-// StartTask asks a guard to start a task; it occurs once for a task and a guard.
+// StartTask sends a task to a guard. It occurs once for a task and a guard. MaxWait is the expected wait above which
+// the guard refuses, or 0 for none.
 type StartTask struct {
 	Task     model.TaskID
 	Guard    ownership.MemberID
@@ -113,14 +114,14 @@
 	Payload  []byte
 }
 
-// WithdrawTask asks a guard to drop a task that still waits.
+// WithdrawTask asks a guard to remove a task from its queue. A task that has started is not stopped.
 type WithdrawTask struct {
 	Task     model.TaskID
 	Guard    ownership.MemberID
 	Deadline time.Time
 }
 
-// WatchDeadline asks for DeadlinePassed at the time.
+// WatchDeadline asks for a DeadlinePassed event at the time.
 type WatchDeadline struct {
 	Key model.Key
 	At  time.Time
@@ -132,19 +133,19 @@
 func (WithdrawTask) isEffect()  {}
 func (WatchDeadline) isEffect() {}
 
-// Response is what an entry hears: Answered, Declined or Refused.
+// Response is the response to an offer. It is one of Answered, Declined and Refused.
 type Response interface{ isResponse() }
 
-// Answered carries the final answer.
+// Answered carries the final answer of the submission.
 type Answered struct{ Answer model.Answer }
 
-// Declined says that this owner will never take the key.
+// Declined means that this owner will never run the key. BoundTo is the owner that may, if known.
 type Declined struct {
 	BoundTo ownership.MemberID
 	Reason  string
 }
 
-// Refused says that this one offer was not taken.
+// Refused means that this offer was not accepted; a later one may be.
 type Refused struct{ Reason string }
 
 func (Answered) isResponse() {}
--- a/internal/native/owner/job.go
+++ b/internal/native/owner/job.go
@@ -11,33 +11,40 @@
 	"sailhead/internal/native/ownership"
 )
 
-// job is a submission on its way to an answer.
+// job is a submission without an answer.
 type job struct {
 	model   model.Job
 	kind    configuration.Kind
 	waiters []Waiter
 	tasks   []task
+	// started is set once the fence is over and the job is admitted.
 	started bool
-	open    int
-	due     time.Time
+	// open counts the tasks without a result.
+	open int
+	// due orders the tasks in the queues of the guards; see dueTime.
+	due time.Time
 	// mayHaveRun is set once a task may have started.
 	mayHaveRun bool
+	// retryAfter is the longest that a guard gave with a refusal.
 	retryAfter time.Duration
 }
 
 // task is one task of a job.
 type task struct {
-	guard  ownership.MemberID
+	// guard is where the task was sent, empty after that guard refused it.
+	guard ownership.MemberID
+	// tried are all guards that it was sent to.
 	tried  []ownership.MemberID
 	result []byte
-	done   bool
+	// done is set once the task has a result or has failed.
+	done bool
 }
 
 func newJob(submission model.Job, waiter Waiter) *job {
 	return &job{model: submission, waiters: []Waiter{waiter}}
 }
 
-// prepare sets the job up to place its tasks.
+// prepare begins the running state.
 func (j *job) prepare(kind configuration.Kind) {
 	j.kind = kind
 	j.started = true
@@ -45,7 +52,7 @@
 	j.open = len(j.tasks)
 }
 
-// outstanding returns the tasks that are at a guard without an outcome.
+// outstanding returns the indices of the tasks that are at a guard without an outcome.
 func (j *job) outstanding() []int {
 	var indices []int
 	for i := range j.tasks {
@@ -65,6 +72,11 @@
 	return results
 }
 
+// kindName returns the name under which the service times of the job's kind are recorded.
+func kindName(j model.Job) string {
+	return j.Service + "/" + j.Kind
+}
+
 func (j *job) taskID(index int) model.TaskID {
 	return model.TaskID{Key: j.model.Key, Index: uint32(index)}
 }
--- a/internal/native/owner/owner.go
+++ b/internal/native/owner/owner.go
@@ -15,12 +15,6 @@
 	"sailhead/internal/native/placement"
 )
 
-// suspendTime is how long a worker whose agent was not reached, or is silent, gets no tasks.
-const suspendTime = time.Second
-
-// maxTries is at how many guards a task is tried that none of them has started.
-const maxTries = 4
-
 // Owner runs the submissions of one agent. It is not safe for concurrent use.
 type Owner struct {
 	table         *ownership.Table
@@ -28,17 +22,10 @@
 	estimator     *admission.Estimator
 	quotas        *quotas
 	configuration configuration.Configuration
-	jobs          map[model.Key]*job
-	random        *rand.Rand
-	bounces       Bounces
-}
-
-// Bounces say how a task that would wait at one worker is sent on to another. Each costs two messages.
-type Bounces struct {
-	// Most is the largest number of workers that may send a task on; 0 is none.
-	Most int
-	// Wait is the expected wait beyond which they do.
-	Wait time.Duration
+	// jobs are the submissions without an answer, fencing or running.
+	jobs    map[model.Key]*job
+	random  *rand.Rand
+	bounces Bounces
 }
 
 // New returns an owner without submissions.
@@ -54,12 +41,12 @@
 	}
 }
 
-// Table returns the submission table, to be read only.
+// Table returns the submission table. The caller must not run it through offers or fences itself.
 func (o *Owner) Table() *ownership.Table {
 	return o.table
 }
 
-// Handle takes in an event and returns its effects in order.
+// Handle applies one event and returns its effects in order.
 func (o *Owner) Handle(now time.Time, event Event) []Effect {
 	switch e := event.(type) {
 	case Offered:
@@ -76,8 +63,8 @@
 		o.seeConfiguration(now, e.Configuration)
 	case LoadSeen:
 		o.view.Observe(e.Guard, e.Load)
-	case GuardSilent:
-		o.view.Suspend(e.Guard, now.Add(suspendTime))
+	case GuardUnresponsive:
+		o.view.Suspend(e.Guard, now.Add(reuseDelay))
 	case Inherited:
 		return o.inherit(e)
 	case LeaveAsked:
@@ -88,7 +75,7 @@
 	return nil
 }
 
-// inherit takes a leaving owner's records and answers the submissions that waited for a fence.
+// inherit adds the records of an owner that leaves, and answers the jobs whose fences the records end.
 func (o *Owner) inherit(e Inherited) []Effect {
 	ended, ok := o.table.Inherit(e.Records)
 	e.Done(ok)
@@ -101,12 +88,14 @@
 	return effects
 }
 
+// seeRoster applies a roster if it is newer than the one in use.
 func (o *Owner) seeRoster(now time.Time, roster ownership.Roster) {
 	if o.table.SetRoster(roster) {
 		o.refresh(now)
 	}
 }
 
+// seeConfiguration applies a configuration if it is newer than the one in use.
 func (o *Owner) seeConfiguration(now time.Time, seen configuration.Configuration) {
 	if seen.Version > o.configuration.Version {
 		o.configuration = seen
@@ -114,13 +103,14 @@
 	}
 }
 
-// refresh brings the view and the quotas in line with the roster and the configuration.
+// refresh updates the view and the quotas after a change of the roster or the configuration.
 func (o *Owner) refresh(now time.Time) {
 	agents := o.table.Roster().Listed(ownership.RoleAgent)
 	o.view.SetMembers(agents, o.configuration.IsDraining)
 	o.quotas.set(now, o.configuration.Teams, len(agents))
 }
 
+// offer applies the table's decision on a submission that an entry forwards.
 func (o *Owner) offer(now time.Time, e Offered) []Effect {
 	decision := o.table.Take(now, e.Offer)
 	switch d := decision.(type) {
@@ -133,7 +123,7 @@
 		watch := WatchDeadline{Key: e.Offer.Job.Key, At: e.Offer.Job.Deadline}
 		return append([]Effect{watch}, o.proceed(now, e.Offer.Job.Key, decision)...)
 	case ownership.Decline:
-		// A new submission whose fence cannot succeed is declined at once.
+		// Declined before, or a new key whose fence cannot succeed.
 		return respond(Declined{BoundTo: d.BoundTo, Reason: d.Reason}, e.Waiter)
 	case ownership.Refuse:
 		return respond(Refused{Reason: d.Reason}, e.Waiter)
@@ -144,11 +134,12 @@
 	}
 }
 
+// respond returns the effect of one response to all waiters.
 func respond(response Response, waiters ...Waiter) []Effect {
 	return []Effect{Respond{Waiters: waiters, Response: response}}
 }
 
-// proceed carries out the decision on a submission that is under way.
+// proceed applies a decision to a job without an answer.
 func (o *Owner) proceed(now time.Time, key model.Key, decision ownership.Decision) []Effect {
 	switch d := decision.(type) {
 	case ownership.Ask:
@@ -164,15 +155,17 @@
 	}
 }
 
+// askFences asks each entry to promise the key to this owner.
 func (o *Owner) askFences(now time.Time, key model.Key, entries []ownership.Member) []Effect {
 	var effects []Effect
 	epoch := o.table.Roster().Epoch
 	for _, entry := range entries {
-		effects = append(effects, AskFence{Key: key, Entry: entry, Epoch: epoch, Until: now.Add(ownership.FenceTime)})
+		effects = append(effects, AskFence{Key: key, Entry: entry, Epoch: epoch, Until: now.Add(ownership.FenceTimeout)})
 	}
 	return effects
 }
 
+// fenceAnswer applies the verdict of an entry. Verdicts on a fence that has ended are ignored.
 func (o *Owner) fenceAnswer(now time.Time, e FenceAnswered) []Effect {
 	decision, ok := o.table.Fenced(now, e.Key, e.Entry, e.Verdict, e.Epoch)
 	if !ok {
@@ -181,7 +174,7 @@
 	return o.proceed(now, e.Key, decision)
 }
 
-// run admits the whole job and places every task, or answers why not.
+// run admits a job and places all its tasks, or answers it with a refusal.
 func (o *Owner) run(now time.Time, j *job) []Effect {
 	kind, rejected, ok := o.configuration.Check(j.model)
 	if !ok {
@@ -195,87 +188,15 @@
 	var effects []Effect
 	for i := range j.tasks {
 		effects = append(effects, o.place(now, j, i)...)
-		if _, live := o.jobs[j.model.Key]; !live {
+		if _, underWay := o.jobs[j.model.Key]; !underWay {
+			// The task had no worker, which has ended the job.
 			return effects
 		}
 	}
 	return effects
 }
 
-// refuse looks at the whole job before its first start.
-func (o *Owner) refuse(now time.Time, j *job, kind configuration.Kind) (model.NotRun, bool) {
-	estimate := o.estimator.Of(kindName(j.model), kind.Expected)
-	need, ok := o.view.Finish(now, len(j.model.Tasks), kind.Urgency, estimate)
-	if !ok {
-		return model.NotRun{Reason: "no worker accepts tasks", RetryAfter: admission.ComeBack(time.Second, o.random)}, true
-	}
-	left := j.model.Deadline.Sub(now)
-	if need > left {
-		reason := fmt.Sprintf("the job needs about %s and has %s", need.Round(time.Millisecond), left.Round(time.Millisecond))
-		return model.NotRun{Reason: reason, RetryAfter: admission.ComeBack(need, o.random)}, true
-	}
-	if wait, ok := o.quotas.take(now, j.model.Team, len(j.model.Tasks)); !ok {
-		return model.NotRun{Reason: "the team is over its quota", RetryAfter: admission.ComeBack(wait, o.random), OverQuota: true}, true
-	}
-	return model.NotRun{}, false
-}
-
-// sizeWeight is how many mean service times later a job is due that would fill every slot once.
-const sizeWeight = 32
-
-// dueTime puts small jobs of an urgency before large ones that came a little earlier, so that a single task does not
-// wait for all the tasks of a large job. Time passes for both, so no job waits for ever.
-func (o *Owner) dueTime(now time.Time, j *job) time.Time {
-	mean := o.estimator.Of(kindName(j.model), j.kind.Expected).Mean
-	size := float64(len(j.tasks)) / float64(max(o.view.Slots(), 1))
-	due := now.Add(mean + time.Duration(sizeWeight*size*float64(mean)))
-	if due.After(j.model.Deadline) {
-		return j.model.Deadline
-	}
-	return due
-}
-
-func kindName(j model.Job) string {
-	return j.Service + "/" + j.Kind
-}
-
-// place sends a task to a guard that has not refused it, or gives the job up.
-func (o *Owner) place(now time.Time, j *job, index int) []Effect {
-	t := &j.tasks[index]
-	guard, ok := o.view.Place(now, j.kind.Urgency, t.tried)
-	if !ok || len(t.tried) >= maxTries {
-		return o.giveUp(now, j, index)
-	}
-	t.guard = guard
-	t.tried = append(t.tried, guard)
-	o.view.Sent(guard)
-	return []Effect{StartTask{
-		Task: j.taskID(index), Guard: guard, Job: j.model, Urgency: j.kind.Urgency,
-		Expected: j.kind.Expected, Due: j.due, MaxWait: o.maxWait(now, j, t), Payload: j.model.Tasks[index],
-	}}
-}
-
-// maxWait is the wait beyond which the worker sends a task on; it does not while no other seems to have a free slot.
-func (o *Owner) maxWait(now time.Time, j *job, t *task) time.Duration {
-	if len(t.tried) > o.bounces.Most || !o.view.HasFree(now, j.kind.Urgency, t.tried) {
-		return 0
-	}
-	return o.bounces.Wait
-}
-
-// giveUp ends a job of which one task finds no worker.
-func (o *Owner) giveUp(now time.Time, j *job, index int) []Effect {
-	if !j.mayHaveRun && len(j.outstanding()) == 0 {
-		return o.finish(now, j, model.NotRun{
-			Reason:     "no worker can end the job in time",
-			RetryAfter: max(j.retryAfter, admission.ComeBack(j.kind.Expected, o.random)),
-		})
-	}
-	reason := fmt.Sprintf("task %d found no worker that can end it in time", index)
-	return o.fail(now, j, model.Failed{Reason: reason, MayHaveRun: true})
-}
-
-// fail answers at once and withdraws the tasks that still wait.
+// fail answers a job as failed and withdraws its tasks from the guards. A task that has started runs to its end.
 func (o *Owner) fail(now time.Time, j *job, answer model.Failed) []Effect {
 	var effects []Effect
 	for _, i := range j.outstanding() {
@@ -284,12 +205,14 @@
 	return append(o.finish(now, j, answer), effects...)
 }
 
+// finish answers a job and records the answer.
 func (o *Owner) finish(now time.Time, j *job, answer model.Answer) []Effect {
 	delete(o.jobs, j.model.Key)
 	o.table.Finish(now, j.model.Key, j.model.Attempt, answer)
 	return respond(Answered{Answer: answer}, j.waiters...)
 }
 
+// taskEnd applies the outcome of a task. An outcome that is late or repeated changes nothing but the view.
 func (o *Owner) taskEnd(now time.Time, e TaskEnded) []Effect {
 	o.view.Returned(e.Guard)
 	j, ok := o.jobs[e.Task.Key]
@@ -306,7 +229,7 @@
 	case model.TaskNotStarted:
 		t.guard = ""
 		if outcome.Unreachable {
-			o.view.Suspend(e.Guard, now.Add(suspendTime))
+			o.view.Suspend(e.Guard, now.Add(reuseDelay))
 		}
 		j.retryAfter = max(j.retryAfter, outcome.RetryAfter)
 		return o.place(now, j, int(e.Task.Index))
@@ -320,6 +243,7 @@
 	}
 }
 
+// taskDone records a result, and completes the job with the last one.
 func (o *Owner) taskDone(now time.Time, j *job, t *task, outcome model.TaskDone) []Effect {
 	t.done = true
 	t.result = outcome.Result
@@ -332,7 +256,7 @@
 	return o.finish(now, j, model.Complete{Results: j.results()})
 }
 
-// deadline answers a job whose time is up.
+// deadline fails a job whose deadline has passed. DeadlinePassed may come early, as the timer uses another clock reading.
 func (o *Owner) deadline(now time.Time, key model.Key) []Effect {
 	j, ok := o.jobs[key]
 	if !ok {
@@ -342,8 +266,8 @@
 		return []Effect{WatchDeadline{Key: key, At: j.model.Deadline}}
 	}
 	if !j.started {
-		// A fence is still open: its own time limit ends it.
-		return []Effect{WatchDeadline{Key: key, At: now.Add(ownership.FenceTime)}}
+		// The job is fencing. The fence ends within FenceTimeout; look again after that.
+		return []Effect{WatchDeadline{Key: key, At: now.Add(ownership.FenceTimeout)}}
 	}
 	return o.fail(now, j, model.Failed{Reason: "the deadline passed", MayHaveRun: true, TimedOut: true})
 }
--- a/internal/native/owner/owner_test.go
+++ b/internal/native/owner/owner_test.go
@@ -97,7 +97,7 @@
 		s.now = s.now.Add(10 * time.Second)
 		return describe(s.owner.Handle(s.now, DeadlinePassed{Key: model.Key(name(0))}))
 	case "silent":
-		return describe(s.owner.Handle(s.now, GuardSilent{Guard: ownership.MemberID(name(0))}))
+		return describe(s.owner.Handle(s.now, GuardUnresponsive{Guard: ownership.MemberID(name(0))}))
 	case "join":
 		s.roster = s.roster.WithJoined(ownership.Member{ID: ownership.MemberID(name(0)), Address: name(0), Role: ownership.RoleEntry}, s.now)
 		return describe(s.owner.Handle(s.now, RosterSeen{Roster: s.roster}))
--- /dev/null
+++ b/internal/native/owner/place.go
@@ -0,0 +1,98 @@
+// SPDX-FileCopyrightText: Copyright The sailhead contributors
+// SPDX-License-Identifier: MIT
+
+package owner
+
+import (
+	"fmt"
+	"time"
+
+	"sailhead/internal/native/admission"
+	"sailhead/internal/native/model"
+)
+
+// reuseDelay is how long a worker gets no tasks after its agent was unreachable or unresponsive. It is short because a
+// wrong suspicion costs capacity, and one task is enough to find out again. Not measured alone: commits 6e93315 and
+// 57e8035 measured it with other changes.
+const reuseDelay = time.Second
+
+// maxTries is the number of guards to which a task is sent; see place. Not measured.
+const maxTries = 4
+
+// Bounces limits how often a task that would wait at one worker is placed on another. Each time costs two messages.
+// Both values are settings; docs/MEASUREMENTS.md has figures for 0 and 1 (commit 671fde2).
+type Bounces struct {
+	// Max is the number of workers that may refuse a task because it would wait; with 0 none may.
+	Max int
+	// MaxWait is the expected wait above which such a worker refuses.
+	MaxWait time.Duration
+}
+
+// place sends a task to a guard that has not refused it, or ends the job if there is none.
+//
+// Inputs: the guards that the task was sent to before; the workers that accept tasks (placement.View).
+//
+// Rule: a task is sent to each guard at most once, and to maxTries guards at most.
+//
+// Reason: a guard that refused a task refuses a second start of it too, and the answer should come soon when the
+// owner's view is that wrong.
+//
+// Measured: no.
+func (o *Owner) place(now time.Time, j *job, index int) []Effect {
+	t := &j.tasks[index]
+	guard, ok := o.view.Place(now, j.kind.Urgency, t.tried)
+	if !ok || len(t.tried) >= maxTries {
+		return o.endUnplaceable(now, j, index)
+	}
+	t.guard = guard
+	t.tried = append(t.tried, guard)
+	o.view.Sent(guard)
+	return []Effect{StartTask{
+		Task:     j.taskID(index),
+		Guard:    guard,
+		Job:      j.model,
+		Urgency:  j.kind.Urgency,
+		Expected: j.kind.Expected,
+		Due:      j.due,
+		MaxWait:  o.maxWait(now, j, t),
+		Payload:  j.model.Tasks[index],
+	}}
+}
+
+// maxWait returns the expected wait above which the guard refuses a task, or 0 if it must not refuse for a wait.
+//
+// Inputs: the Bounces; the guards that the task was sent to, the present one included; the loads of the workers.
+//
+// Rule: the first Bounces.Max guards may refuse, and only while another worker seems to have a free slot.
+//
+// Reason: views lag, so a task may wait at a worker while another one is free.
+//
+// Measured: commit 671fde2, with a simulator that is gone, one site at 80 % load, Max 0 and 1: p99 of single tasks
+// 1.516 and 1.411 of the ideal, wasted messages 0.000 and 0.540 a task.
+func (o *Owner) maxWait(now time.Time, j *job, t *task) time.Duration {
+	if len(t.tried) > o.bounces.Max || !o.view.HasFree(now, j.kind.Urgency, t.tried) {
+		return 0
+	}
+	return o.bounces.MaxWait
+}
+
+// endUnplaceable ends a job of which one task has no worker.
+//
+// Inputs: whether a task of the job may have run or is at a guard; the longest retry-after of the guards that refused.
+//
+// Rule: NotRun if no task may have run and none is at a guard, otherwise Failed. The retry-after is the longest that a
+// guard gave, and at least that of a backlog of one expected service time.
+//
+// Reason: NotRun promises that nothing ran and nothing will run for this attempt.
+//
+// Measured: no.
+func (o *Owner) endUnplaceable(now time.Time, j *job, index int) []Effect {
+	if !j.mayHaveRun && len(j.outstanding()) == 0 {
+		return o.finish(now, j, model.NotRun{
+			Reason:     "no worker can end the job in time",
+			RetryAfter: max(j.retryAfter, admission.RetryAfter(j.kind.Expected, o.random)),
+		})
+	}
+	reason := fmt.Sprintf("task %d found no worker that can end it in time", index)
+	return o.fail(now, j, model.Failed{Reason: reason, MayHaveRun: true})
+}
--- a/internal/native/owner/quota.go
+++ b/internal/native/owner/quota.go
@@ -12,11 +12,20 @@
 	"sailhead/internal/native/model"
 )
 
-// quotas holds this owner's share of each team's quota.
+// quotas limits the task starts of each organisation at this owner.
 //
-// The quota is divided equally over the owners, and an owner may save up one second of the whole
-// quota. So a team starts at most its quota a second in the long run, and at most as many seconds'
-// quota in a burst as there are owners.
+// Inputs: the organisation's quota, in task starts a second, 0 for none; the number of listed agents, each of which is an
+// owner; the number of tasks of a job.
+//
+// Rule: each owner has an equal share of the quota as a token bucket. A bucket holds one second of the whole quota, and
+// at least the tasks of one job of maximum size. A job that needs more tokens than the bucket has is refused; its
+// retry-after is based on the time until the missing tokens have been added.
+//
+// Reason: owners need not talk to each other. In the long run an organisation starts its quota of tasks a second; in a
+// burst it starts at most as many seconds of its quota as there are owners. The minimum of the bucket lets a job of
+// maximum size pass at all.
+//
+// Measured: no. Small quotas over many owners give shares below one task a second (docs/CAPACITY.md).
 type quotas struct {
 	limiters map[string]*rate.Limiter
 }
@@ -25,7 +34,7 @@
 	return &quotas{limiters: make(map[string]*rate.Limiter)}
 }
 
-// set takes in the teams' quotas and the number of owners.
+// set applies new quotas or a new number of owners. Tokens that were saved stay.
 func (q *quotas) set(now time.Time, teams []configuration.Team, owners int) {
 	known := q.limiters
 	q.limiters = make(map[string]*rate.Limiter, len(teams))
@@ -45,7 +54,7 @@
 	}
 }
 
-// take uses up task starts of the team and returns how long to wait if there are not enough.
+// take removes a token for each task, or returns how long it takes until there are enough.
 func (q *quotas) take(now time.Time, team string, tasks int) (wait time.Duration, ok bool) {
 	limiter, limited := q.limiters[team]
 	if !limited || limiter.AllowN(now, tasks) {
--- a/internal/native/ownership/fence.go
+++ b/internal/native/ownership/fence.go
@@ -91,7 +91,7 @@
 	if !ok || r.state != stateFencing {
 		return nil, false
 	}
-	if now.After(r.fence.began.Add(FenceTime)) {
+	if now.After(r.fence.began.Add(FenceTimeout)) {
 		return t.decline(r, "", "the fence took too long"), true
 	}
 	switch v := verdict.(type) {
--- a/internal/native/ownership/limits.go
+++ b/internal/native/ownership/limits.go
@@ -25,13 +25,13 @@
 	return 2 * l.Skew
 }
 
-// FenceTime is how long a fence may last; promises that come later do not count.
-const FenceTime = time.Second
+// FenceTimeout is how long a fence may last; promises that come later do not count.
+const FenceTimeout = time.Second
 
 // Retention is how long a table remembers a key after it was last touched: as long as the key is accepted,
 // and a fence that began then lasts.
 func (l Limits) Retention() time.Duration {
-	return l.Window + l.margin() + FenceTime
+	return l.Window + l.margin() + FenceTimeout
 }
 
 // issueTime returns when the key counts as issued; one that carries no time counts as one window old.
--- a/internal/native/placement/view.go
+++ b/internal/native/placement/view.go
@@ -15,7 +15,7 @@
 
 // waitMargin is the factor by which an estimated wait is lengthened: other owners admit jobs at the same time
 // on the same view, and a job of which one task comes too late has wasted all the others.
-const waitMargin = 2.0
+const waitFactor = 2.0
 
 // View is what one owner knows of the workers' loads. It is not safe for concurrent use.
 type View struct {
@@ -154,7 +154,7 @@
 		return 0, false
 	}
 	wait := total.WithTasks(tasks, estimate.Mean).Wait()
-	return time.Duration(waitMargin*float64(wait)) + estimate.High, true
+	return time.Duration(waitFactor*float64(wait)) + estimate.High, true
 }
 
 // Slots returns the number of slots of all workers.
