--- a/internal/native/guard/guard.go
+++ b/internal/native/guard/guard.go
@@ -1,9 +1,6 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package guard decides when the tasks of one worker start, and starts none twice.
-//
-// It is a state machine without I/O: events go in, effects come out.
 package guard
 
 import (
@@ -14,128 +11,39 @@
 	"sailhead/internal/native/model"
 )
 
-// Task is one task that an owner asks the guard to start.
-type Task struct {
-	ID       model.TaskID
-	Owner    string
-	Service  string
-	Kind     string
-	Urgency  int
-	Deadline time.Time
-	// Due orders tasks of the same urgency; it lies later for larger jobs, and never after the deadline.
-	Due      time.Time
-	Expected time.Duration
-	// MaxWait is the longest expected wait with which the owner wants the task queued; 0 is any.
-	MaxWait time.Duration
-	Payload []byte
-	Trace   string
-}
-
-// Limits bound what a guard holds.
+// Limits are the bounds of a guard.
 type Limits struct {
+	// Slots is the number of tasks that run at a time.
 	Slots int
+	// Queue is the largest number of tasks that wait.
 	Queue int
-	// Records is the largest number of tasks remembered, waiting and running ones included.
+	// Records is the largest number of tasks in the table, waiting and running ones included.
 	Records int
-	// Retention is how long after its deadline a task is remembered.
+	// Retention is how long after its deadline the record of a task is retained.
 	Retention time.Duration
 }
 
-// Event is what happens to a guard: StartAsked, ReportAsked, Ended, Drained or Ticked.
-type Event interface{ isEvent() }
-
-// StartAsked is an owner's request to start a task.
-type StartAsked struct{ Task Task }
-
-// ReportAsked asks for a task's outcome and fences a task that never arrived, or, to withdraw it, that waits.
-type ReportAsked struct {
-	ID       model.TaskID
-	Deadline time.Time
-	Withdraw bool
-}
-
-// Ended is the end of a running task at the backend server.
-type Ended struct {
-	ID      model.TaskID
-	Outcome model.Outcome
-}
-
-// Drained sets whether the worker accepts new tasks.
-type Drained struct{ Leaving bool }
-
-// Ticked lets time pass.
-type Ticked struct{}
-
-func (StartAsked) isEvent()  {}
-func (ReportAsked) isEvent() {}
-func (Ended) isEvent()       {}
-func (Drained) isEvent()     {}
-func (Ticked) isEvent()      {}
-
-// Effect is what a guard wants done: RunTask or Answer.
-type Effect interface{ isEffect() }
-
-// RunTask starts the task at the backend server; it occurs once for a task.
-type RunTask struct{ Task Task }
-
-// Answer gives the outcome of a task to all who wait for it.
-type Answer struct {
-	ID      model.TaskID
-	Outcome model.Outcome
-}
-
-func (RunTask) isEffect() {}
-func (Answer) isEffect()  {}
-
-type taskState int
-
-const (
-	stateQueued taskState = iota
-	stateRunning
-	stateEnded
-	// stateFenced is a task that never started here and never will.
-	stateFenced
-)
-
-type record struct {
-	task     Task
-	state    taskState
-	outcome  model.Outcome
-	position int
-	started  time.Time
-	// expected is the service time that was expected when the task came.
-	expected time.Duration
-}
-
-// Guard holds the tasks of one worker. It is not safe for concurrent use.
+// Guard starts the tasks of one worker. It is not safe for concurrent use.
 type Guard struct {
-	limits    Limits
-	records   map[model.TaskID]*record
-	queue     queue
+	limits  Limits
+	records map[model.TaskID]*record
+	queue   queue
+	// running counts the records in stateRunning.
 	running   int
 	leaving   bool
 	estimator *admission.Estimator
 	random    *rand.Rand
 	usage     usage
-	// mean is the mean service time of all kinds, the latest weighing most.
+	// mean is the moving average of the service times of all kinds; see meanWeight.
 	mean time.Duration
-	// progressed is when a task last ended, or the last free slot was taken.
+	// lastProgress is when a task last ended, or the last free slot was last taken.
 	lastProgress time.Time
-	// forgotten is when old records were last looked for.
+	// lastCleanUp is when old records were last removed.
 	lastCleanUp time.Time
 }
 
-// meanWeight is the number of tasks over which the mean service time is taken.
-const meanWeight = 32
-
-// A worker is stuck when it ends no task for stuckFactor mean service times, and leastPatience at least.
-const (
-	stuckFactor     = 4
-	minStuckTimeout = 500 * time.Millisecond
-)
-
-// forgetShare is the part of the retention after which old records are looked for again.
-const forgetShare = 8
+// cleanUpDivisor sets the interval of cleanUp, a part of the retention. Not measured.
+const cleanUpDivisor = 8
 
 // New returns a guard without tasks.
 func New(limits Limits, random *rand.Rand) *Guard {
@@ -147,33 +55,20 @@
 	}
 }
 
-// Load returns what the guard says of its worker.
-func (g *Guard) Load(now time.Time) model.Load {
-	load := model.Load{Slots: g.limits.Slots, Running: g.running, Leaving: g.leaving, Measured: now}
-	load.Mean = g.mean
-	load.Rest = time.Duration(g.running) * g.mean / 2
-	load.Leaving = load.Leaving || g.isStuck(now)
-	load.Share = g.usage.shares(now, g.limits.Slots)
-	for _, r := range g.queue {
-		load.Queued[r.task.Urgency]++
-		load.Work[r.task.Urgency] += r.expected
-	}
-	return load
-}
-
 // Active is a waiting or running task.
 type Active struct {
 	Task   Task
 	Queued bool
-	Since  time.Time
+	// Since is when the task came if it waits, and when it started if it runs.
+	Since time.Time
 }
 
-// ActiveTasks returns the waiting and running tasks.
+// ActiveTasks returns the waiting and running tasks in no particular order.
 func (g *Guard) ActiveTasks() []Active {
 	var active []Active
 	for _, r := range g.records {
-		if r.state == stateQueued || r.state == stateRunning {
-			active = append(active, Active{Task: r.task, Queued: r.state == stateQueued, Since: r.started})
+		if !r.isFinal() {
+			active = append(active, Active{Task: r.task, Queued: r.state == stateQueued, Since: r.since})
 		}
 	}
 	return active
@@ -184,7 +79,7 @@
 	return g.running == 0 && len(g.queue) == 0
 }
 
-// Handle takes in an event and returns its effects in order.
+// Handle applies one event and returns its effects in order.
 func (g *Guard) Handle(now time.Time, event Event) []Effect {
 	switch e := event.(type) {
 	case StartAsked:
@@ -203,6 +98,7 @@
 	}
 }
 
+// start queues a new task, refuses it, or answers for one that is known.
 func (g *Guard) start(now time.Time, task Task) []Effect {
 	if r, known := g.records[task.ID]; known {
 		return g.answerKnown(r)
@@ -211,7 +107,7 @@
 		return []Effect{Answer{ID: task.ID, Outcome: refusal}}
 	}
 	expected := g.estimator.Of(task.Kind, task.Expected).Mean
-	r := &record{task: task, state: stateQueued, started: now, expected: expected}
+	r := &record{task: task, state: stateQueued, since: now, expected: expected}
 	if g.mean == 0 {
 		g.mean = expected
 	}
@@ -220,40 +116,16 @@
 	return g.fillSlots(now)
 }
 
-// answerKnown repeats an outcome; a task without one is answered at its end.
+// answerKnown repeats the outcome of a task. A task without an outcome gets its Answer when it ends.
 func (g *Guard) answerKnown(r *record) []Effect {
-	if r.state == stateQueued || r.state == stateRunning {
+	if !r.isFinal() {
 		return nil
 	}
 	return []Effect{Answer{ID: r.task.ID, Outcome: r.outcome}}
 }
 
-// refuse decides whether a new task cannot be taken, and says why.
-func (g *Guard) refuse(now time.Time, task Task) (model.TaskNotStarted, bool) {
-	estimate := g.estimator.Of(task.Kind, task.Expected)
-	load := g.Load(now)
-	wait := admission.Wait(load, task.Urgency)
-	refusal := model.TaskNotStarted{RetryAfter: admission.RetryAfter(wait, g.random)}
-	switch {
-	case g.isStuck(now):
-		refusal.Reason = "the backend server ends no tasks"
-	case g.leaving:
-		refusal.Leaving = true
-		refusal.Reason = "the worker is leaving"
-	case len(g.records) >= g.limits.Records:
-		refusal.Reason = "the guard's table is full"
-	case len(g.queue) >= g.limits.Queue:
-		refusal.Reason = "the worker's queue is full"
-	case task.MaxWait > 0 && wait > task.MaxWait:
-		refusal.Reason = "the worker is busy"
-	case now.Add(wait + estimate.High).After(task.Deadline):
-		refusal.Reason = "the task cannot end in time"
-	default:
-		return model.TaskNotStarted{}, false
-	}
-	return refusal, true
-}
-
+// report answers with the outcome of a task. A task that is unknown is fenced first, so that a start that is still under
+// way cannot run it; so is one that waits, if it is to be withdrawn.
 func (g *Guard) report(asked ReportAsked) []Effect {
 	r, known := g.records[asked.ID]
 	switch {
@@ -263,6 +135,7 @@
 	case known:
 		return g.answerKnown(r)
 	case len(g.records) >= g.limits.Records:
+		// Without a record the guard cannot promise that the task never starts.
 		outcome := model.TaskFailed{Cause: model.CauseUnknown, Reason: "the guard's table is full"}
 		return []Effect{Answer{ID: asked.ID, Outcome: outcome}}
 	}
@@ -271,13 +144,14 @@
 	return []Effect{g.fence(r, "the task never arrived")}
 }
 
-// fence makes sure that the task never starts here.
+// fence records that the task never starts here.
 func (g *Guard) fence(r *record, reason string) Effect {
 	r.state = stateFenced
 	r.outcome = model.TaskNotStarted{Reason: reason}
 	return Answer{ID: r.task.ID, Outcome: r.outcome}
 }
 
+// end records the outcome of a running task and starts the next one.
 func (g *Guard) end(now time.Time, ended Ended) []Effect {
 	r, known := g.records[ended.ID]
 	if !known || r.state != stateRunning {
@@ -297,13 +171,13 @@
 	return append([]Effect{answer}, g.fillSlots(now)...)
 }
 
-// fillSlots starts waiting tasks on free slots; those that can no longer end in time are answered.
+// fillSlots starts waiting tasks while slots are free. Waiting tasks that are too late are refused before.
 func (g *Guard) fillSlots(now time.Time) []Effect {
 	effects := g.dropLate(now)
 	for g.running < g.limits.Slots && len(g.queue) > 0 {
 		r := g.queue.next()
 		r.state = stateRunning
-		r.started = now
+		r.since = now
 		g.running++
 		if g.running == g.limits.Slots {
 			g.lastProgress = now
@@ -313,44 +187,20 @@
 	return effects
 }
 
-// dropLate fences the waiting tasks whose usual time passes their deadline.
-func (g *Guard) dropLate(now time.Time) []Effect {
-	var effects []Effect
-	isStuck := g.isStuck(now)
-	late := g.queue.filter(func(task Task) bool {
-		if isStuck {
-			return true
-		}
-		estimate := g.estimator.Of(task.Kind, task.Expected)
-		return now.Add(estimate.Median).After(task.Deadline)
-	})
-	for _, r := range late {
-		g.queue.remove(r)
-		r.task.Payload = nil
-		effects = append(effects, g.fence(r, "the task could no longer end in time"))
-	}
-	return effects
-}
-
+// tick applies what depends on time alone.
 func (g *Guard) tick(now time.Time) []Effect {
-	if now.Sub(g.lastCleanUp) >= g.limits.Retention/forgetShare {
-		g.forget(now)
+	if now.Sub(g.lastCleanUp) >= g.limits.Retention/cleanUpDivisor {
+		g.cleanUp(now)
 	}
 	return g.fillSlots(now)
 }
 
-// isStuck reports whether all slots are taken and no task has ended for much longer than tasks take.
-func (g *Guard) isStuck(now time.Time) bool {
-	patience := max(stuckFactor*g.mean, minStuckTimeout)
-	return g.running >= g.limits.Slots && now.Sub(g.lastProgress) > patience
-}
-
-// forget drops the records whose deadline lies further back than the retention.
-func (g *Guard) forget(now time.Time) {
+// cleanUp removes the records of tasks that ended or were fenced and whose deadline is past by the retention.
+func (g *Guard) cleanUp(now time.Time) {
 	g.lastCleanUp = now
 	before := now.Add(-g.limits.Retention)
 	for id, r := range g.records {
-		if r.state >= stateEnded && r.task.Deadline.Before(before) {
+		if r.isFinal() && r.task.Deadline.Before(before) {
 			delete(g.records, id)
 		}
 	}
--- a/internal/native/guard/guard_test.go
+++ b/internal/native/guard/guard_test.go
@@ -16,7 +16,7 @@
 	"sailhead/internal/native/model"
 )
 
-// script drives a guard with one slot fewer than its tasks need.
+// script drives a guard with one slot.
 type script struct {
 	t     *testing.T
 	now   time.Time
@@ -99,6 +99,6 @@
 	effects := g.Handle(now, ReportAsked{ID: model.TaskID{Key: "b"}, Deadline: now.Add(time.Second)})
 	outcome, ok := effects[0].(Answer).Outcome.(model.TaskFailed)
 	if !ok || outcome.Cause != model.CauseUnknown {
-		t.Errorf("got %+v: a fence that is not remembered must not say that the task never starts", effects)
+		t.Errorf("got %+v, want a failure of unknown cause: without a record the task may still start", effects)
 	}
 }
--- a/internal/native/guard/queue.go
+++ b/internal/native/guard/queue.go
@@ -9,7 +9,7 @@
 	"sailhead/internal/native/model"
 )
 
-// queue orders waiting tasks by urgency, then by when they are due.
+// queue is a heap of the waiting tasks. The order is that of Task.isBefore.
 type queue []*record
 
 func (q queue) Len() int { return len(q) }
@@ -24,14 +24,14 @@
 	q[j].position = j
 }
 
-// Push appends a record; it serves container/heap.
+// Push appends a record; container/heap calls it.
 func (q *queue) Push(x any) {
 	r := x.(*record)
 	r.position = len(*q)
 	*q = append(*q, r)
 }
 
-// Pop removes the last record; it serves container/heap.
+// Pop removes the last record; container/heap calls it.
 func (q *queue) Pop() any {
 	last := len(*q) - 1
 	r := (*q)[last]
@@ -44,7 +44,7 @@
 func (q *queue) next() *record    { return heap.Pop(q).(*record) }
 func (q *queue) remove(r *record) { heap.Remove(q, r.position) }
 
-// overdue returns the waiting tasks for which the test holds.
+// filter returns the waiting tasks for which a test holds, in no particular order.
 func (q queue) filter(test func(Task) bool) []*record {
 	var late []*record
 	for _, r := range q {
@@ -55,7 +55,17 @@
 	return late
 }
 
-// isBefore reports whether the task goes before the other.
+// isBefore reports whether the task starts before another one that waits.
+//
+// Inputs: the urgency of the kind (9 is the most urgent), the time at which the owner says the task is due, and the id.
+//
+// Rule: the higher urgency first, then the earlier due time, then the lower id.
+//
+// Reason: urgent kinds lose nothing to less urgent ones. The due time is later for large jobs, so that a single task does
+// not wait for all their tasks (owner/order.go). The id only makes the order definite.
+//
+// Measured: the due time in commit 7e5a479, against the order of deadlines: p99 of single tasks at 80 % load 1.64 and 1.47
+// against 3.18 and 2.34 of the ideal (two sites, a simulator that is gone).
 func (t Task) isBefore(other Task) bool {
 	if t.Urgency != other.Urgency {
 		return t.Urgency > other.Urgency
@@ -66,6 +76,7 @@
 	return less(t.ID, other.ID)
 }
 
+// less reports whether the id a is lower than b.
 func less(a, b model.TaskID) bool {
 	if a.Key != b.Key {
 		return a.Key < b.Key
