--- a/internal/native/gossip/news.go
+++ b/internal/native/gossip/delta.go
@@ -18,23 +18,25 @@
 	"sailhead/internal/native/peer/peerpb"
 )
 
-// WholeDocument is a version that asks for the whole configuration instead of the latest changes.
+// WholeDocument is the version by which a message asks for the whole configuration, not for changes since a version.
 const WholeDocument = math.MaxUint64
 
-// maxDocument is the largest document read from a peer, in bytes.
+// maxDocumentSize is the largest document that is read from a peer, in bytes after decompression. It bounds the memory that a
+// broken message can take; documents at the target size have about 110 KB (docs/CAPACITY.md).
 const maxDocumentSize = 16 << 20
 
-// news is what one process knows and another lacks, as compressed JSON; parts that are not newer are empty.
-type news struct {
+// delta has the documents by which one process is ahead of another, as compressed JSON. Documents that are not newer are
+// empty. Of the configuration it has the whole or the changes, not both.
+type delta struct {
 	roster        []byte
 	configuration []byte
 	changes       []byte
 }
 
-// newsSince returns what is newer here than the versions given: of the configuration the latest changes,
-// or all of it if the history does not reach back.
-func (e *Exchanger) newsSince(rosterRevision, version uint64) (news, error) {
-	var n news
+// deltaSince returns what is newer here than the given versions. Of the configuration that is the changes since its version, or
+// the whole if the history does not reach back that far.
+func (e *Exchanger) deltaSince(rosterRevision, version uint64) (delta, error) {
+	var n delta
 	var err error
 	if own := e.state.Roster(); own.Revision > rosterRevision {
 		if n.roster, err = Compress(own); err != nil {
@@ -57,8 +59,8 @@
 	return n, err
 }
 
-// see takes in a peer's news.
-func (e *Exchanger) see(n news, loads []*peerpb.Load) error {
+// apply applies the documents and loads of a peer.
+func (e *Exchanger) apply(n delta, loads []*peerpb.Load) error {
 	if len(n.roster) > 0 {
 		var seen ownership.Roster
 		if err := Decompress(n.roster, &seen); err != nil {
@@ -73,7 +75,7 @@
 		}
 		e.state.SeeConfiguration(seen)
 	}
-	if err := e.replay(n.changes); err != nil {
+	if err := e.applyChanges(n.changes); err != nil {
 		return err
 	}
 	for _, l := range loads {
@@ -82,8 +84,8 @@
 	return nil
 }
 
-// replay takes in the changes that follow the version known here.
-func (e *Exchanger) replay(changes []byte) error {
+// applyChanges applies changes that follow the version of this process.
+func (e *Exchanger) applyChanges(changes []byte) error {
 	if len(changes) == 0 {
 		return nil
 	}
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// Compress writes a document as compressed JSON.
+// Compress returns a document as JSON compressed with gzip.
 func Compress(document any) ([]byte, error) {
 	data, err := json.Marshal(document)
 	if err != nil {
@@ -116,7 +118,7 @@
 	return out.Bytes(), nil
 }
 
-// Decompress reads a document from compressed JSON.
+// Decompress reads a document from JSON compressed with gzip. It fails for more than maxDocumentSize bytes of JSON.
 func Decompress(data []byte, document any) error {
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
--- a/internal/native/gossip/exchange.go
+++ b/internal/native/gossip/exchange.go
@@ -18,12 +18,16 @@
 	"sailhead/internal/native/peer/peerpb"
 )
 
-// sampledLoads is the largest number of loads in one message.
-const maxLoads = 3
-
-const exchangeTimeout = 800 * time.Millisecond
+const (
+	// maxLoads is the largest number of loads in a message, besides the sender's own. Measured in commit c42b581 with one peer
+	// an exchange: 1.4 to 1.5 KB/s a node, where more peers and loads had taken 5.9 to 8.5 KB/s.
+	maxLoads = 3
+	// exchangeTimeout is the longest time of an exchange with one peer, both messages included. Not measured.
+	exchangeTimeout = 800 * time.Millisecond
+)
 
-// Exchanger swaps what is new with random peers.
+// Exchanger exchanges versions and newer documents with other processes. It is safe for concurrent use; Heard and OwnLoad
+// must be set before.
 type Exchanger struct {
 	state   *State
 	client  *peer.Client
@@ -32,13 +36,13 @@
 	seeds   []string
 	metrics *metric.Set
 	logger  log.Logger
-	// Heard is told of each process that asks for an exchange.
+	// Heard is called with the sender of each exchange that this process serves.
 	Heard func(ownership.MemberID)
 	// OwnLoad returns the load of this process's worker, if it has one.
 	OwnLoad func() (model.Load, bool)
 }
 
-// NewExchanger returns an exchanger for the process at the address.
+// NewExchanger returns an exchanger for a process at an address. The seeds are the addresses to begin with.
 func NewExchanger(state *State, client *peer.Client, self ownership.MemberID, address string, seeds []string, metrics *metric.Set, logger log.Logger) *Exchanger {
 	return &Exchanger{
 		state: state, client: client, self: self, address: address, seeds: seeds, metrics: metrics, logger: logger,
@@ -47,7 +51,8 @@
 	}
 }
 
-// Run exchanges with a few peers at each interval until the context ends.
+// Run exchanges with fanout peers at each interval until the context ends. An exchange that fails is logged at debug level
+// and not repeated, as the next one has another peer.
 func (e *Exchanger) Run(ctx context.Context, interval time.Duration, fanout int) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -65,7 +70,7 @@
 	}
 }
 
-// pick returns random peers; the seeds serve while the roster names no other process.
+// pick returns the addresses of random listed processes, or of random seeds while the roster lists no other process.
 func (e *Exchanger) pick(fanout int) []string {
 	var peers []string
 	for _, m := range e.state.Roster().Members {
@@ -84,7 +89,8 @@
 	return peers[:min(fanout, len(peers))]
 }
 
-// ExchangeWith swaps with one peer; afterwards each knows the newer of both versions.
+// ExchangeWith exchanges with one peer. After it both have the newer version of each document. The first message has only
+// versions; the peer returns what is newer there, and a second message sends what is newer here.
 func (e *Exchanger) ExchangeWith(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -104,40 +110,41 @@
 	return e.push(ctx, address, response)
 }
 
+// exchange sends one message and applies the response.
 func (e *Exchanger) exchange(ctx context.Context, address string, request *peerpb.ExchangeRequest) (*peerpb.ExchangeResponse, error) {
 	e.metrics.Add(metric.MessagesGossip, 1)
 	response, err := e.client.Exchange(ctx, address, request)
 	if err != nil {
 		return nil, err
 	}
-	received := news{roster: response.GetRoster(), configuration: response.GetConfiguration(), changes: response.GetChanges()}
-	return response, e.see(received, response.GetLoads())
+	received := delta{roster: response.GetRoster(), configuration: response.GetConfiguration(), changes: response.GetChanges()}
+	return response, e.apply(received, response.GetLoads())
 }
 
-// isBehind reports whether the peer has less than this process.
+// isBehind reports whether a document of the peer is older than that of this process.
 func (e *Exchanger) isBehind(response *peerpb.ExchangeResponse) bool {
 	return response.GetRosterRevision() < e.state.Roster().Revision ||
 		response.GetConfigurationVersion() < e.state.Configuration().Version
 }
 
-// push sends the peer what it lacks.
+// push sends the peer the documents that are newer here.
 func (e *Exchanger) push(ctx context.Context, address string, response *peerpb.ExchangeResponse) error {
-	news, err := e.newsSince(response.GetRosterRevision(), response.GetConfigurationVersion())
+	own, err := e.deltaSince(response.GetRosterRevision(), response.GetConfigurationVersion())
 	if err != nil {
 		return err
 	}
 	_, err = e.exchange(ctx, address, &peerpb.ExchangeRequest{
 		From:                 string(e.self),
 		RosterRevision:       e.state.Roster().Revision,
-		Roster:               news.roster,
+		Roster:               own.roster,
 		ConfigurationVersion: e.state.Configuration().Version,
-		Configuration:        news.configuration,
-		Changes:              news.changes,
+		Configuration:        own.configuration,
+		Changes:              own.changes,
 	})
 	return err
 }
 
-// loads returns this process's own load and a sample of the others; a load names its agent.
+// loads returns the load of the own worker and a sample of the others. On the wire the field Worker has the agent's id.
 func (e *Exchanger) loads() []*peerpb.Load {
 	var messages []*peerpb.Load
 	add := func(id ownership.MemberID, load model.Load) {
@@ -156,23 +163,23 @@
 	return messages
 }
 
-// Exchange serves a peer's exchange.
+// Exchange serves the exchange of a peer: it applies what the message has and returns what is newer here.
 func (e *Exchanger) Exchange(_ context.Context, request *peerpb.ExchangeRequest) (*peerpb.ExchangeResponse, error) {
 	e.Heard(ownership.MemberID(request.GetFrom()))
-	received := news{roster: request.GetRoster(), configuration: request.GetConfiguration(), changes: request.GetChanges()}
-	if err := e.see(received, request.GetLoads()); err != nil {
+	received := delta{roster: request.GetRoster(), configuration: request.GetConfiguration(), changes: request.GetChanges()}
+	if err := e.apply(received, request.GetLoads()); err != nil {
 		return nil, err
 	}
-	news, err := e.newsSince(request.GetRosterRevision(), request.GetConfigurationVersion())
+	own, err := e.deltaSince(request.GetRosterRevision(), request.GetConfigurationVersion())
 	if err != nil {
 		return nil, err
 	}
 	return &peerpb.ExchangeResponse{
 		RosterRevision:       e.state.Roster().Revision,
-		Roster:               news.roster,
+		Roster:               own.roster,
 		ConfigurationVersion: e.state.Configuration().Version,
-		Configuration:        news.configuration,
-		Changes:              news.changes,
+		Configuration:        own.configuration,
+		Changes:              own.changes,
 		Loads:                e.loads(),
 	}, nil
 }
--- a/internal/native/gossip/size_test.go
+++ b/internal/native/gossip/size_test.go
@@ -63,12 +63,13 @@
 	return c
 }
 
-// TestDocumentsFitAtTheTargetSize checks the documents against the platform's largest value, and logs what gossip sends.
+// TestDocumentsFitAtTheTargetSize checks the documents against the largest value of the platform, and logs the sizes that
+// gossip sends.
 func TestDocumentsFitAtTheTargetSize(t *testing.T) {
 	roster, config := targetRoster(t), targetConfiguration(t)
 	changes, ok := config.Since(config.Version - 1)
 	if !ok {
-		t.Fatal("no changes")
+		t.Fatal("got no changes since the version before the last")
 	}
 	for _, document := range []struct {
 		name  string
@@ -89,17 +90,17 @@
 	}
 }
 
-func TestNewsFollowsChangesAndFallsBackToTheDocument(t *testing.T) {
+func TestDeltaHasTheChangesOrTheWholeConfiguration(t *testing.T) {
 	ahead := &Exchanger{state: NewState()}
 	behind := &Exchanger{state: NewState()}
 	config := targetConfiguration(t)
 	ahead.state.SeeConfiguration(config)
-	exchange := func() news {
-		n, err := ahead.newsSince(behind.state.Roster().Revision, behind.state.Configuration().Version)
+	exchange := func() delta {
+		n, err := ahead.deltaSince(behind.state.Roster().Revision, behind.state.Configuration().Version)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := behind.see(n, nil); err != nil {
+		if err := behind.apply(n, nil); err != nil {
 			t.Fatal(err)
 		}
 		return n
@@ -116,13 +117,13 @@
 		t.Errorf("a node one change behind is at version %d", behind.state.Configuration().Version)
 	}
 	if n := exchange(); len(n.configuration)+len(n.changes) > 0 {
-		t.Error("news without anything new")
+		t.Error("got a configuration or changes at the same version")
 	}
 	// An older configuration never replaces a newer one.
 	if behind.state.SeeConfiguration(config) || behind.state.Configuration().Version != next.Version {
-		t.Error("the configuration went back")
+		t.Error("an older configuration replaced a newer one")
 	}
-	if err := behind.see(news{configuration: []byte("x")}, nil); err == nil {
-		t.Error("a broken document was taken")
+	if err := behind.apply(delta{configuration: []byte("x")}, nil); err == nil {
+		t.Error("got no error for a broken document")
 	}
 }
--- a/internal/native/gossip/state.go
+++ b/internal/native/gossip/state.go
@@ -1,9 +1,6 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package gossip spreads the roster, the configuration and the workers' loads between processes.
-//
-// Of two versions the higher one stays, so nothing reverts, and it works while the platform is down.
 package gossip
 
 import (
@@ -14,28 +11,30 @@
 	"sailhead/internal/native/ownership"
 )
 
-// Watchers hear of what is new; each is called in the order of the versions.
+// Watchers are called with each newer version, in the order of the versions. They are called under the lock of the State, so
+// they must return soon and must not call the State. A nil function is not called.
 type Watchers struct {
 	Roster        func(ownership.Roster)
 	Configuration func(configuration.Configuration)
 	Load          func(ownership.MemberID, model.Load)
 }
 
-// State is the newest that a process knows. It is safe for concurrent use.
+// State has the newest version of each document that a process has seen. It is safe for concurrent use.
 type State struct {
 	mu            sync.Mutex
 	roster        ownership.Roster
 	configuration configuration.Configuration
-	loads         map[ownership.MemberID]model.Load
-	watchers      []Watchers
+	// loads has the newest load of each listed agent.
+	loads    map[ownership.MemberID]model.Load
+	watchers []Watchers
 }
 
-// NewState returns a state without knowledge.
+// NewState returns an empty state: a roster of revision 0, a configuration of version 0 and no loads.
 func NewState() *State {
 	return &State{loads: make(map[ownership.MemberID]model.Load)}
 }
 
-// Watch adds watchers, before anything is seen.
+// Watch adds watchers. Versions that the state has already are not reported to them.
 func (s *State) Watch(watchers Watchers) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +55,8 @@
 	return s.configuration
 }
 
-// SeeRoster takes in a roster and reports whether it is newer.
+// SeeRoster replaces the roster by one of a higher revision, and reports whether it did. Loads of agents that are no longer
+// listed are removed.
 func (s *State) SeeRoster(roster ownership.Roster) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 	return true
 }
 
-// SeeConfiguration takes in a configuration and reports whether it is newer.
+// SeeConfiguration replaces the configuration by one of a higher version, and reports whether it did.
 func (s *State) SeeConfiguration(seen configuration.Configuration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +93,7 @@
 	return true
 }
 
-// SeeLoad takes in a load of a listed agent, if it is newer.
+// SeeLoad replaces the load of a listed agent by one that was measured later.
 func (s *State) SeeLoad(id ownership.MemberID, load model.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,13 +108,13 @@
 	}
 }
 
-// sampleLoads returns at most so many loads, chosen at random.
-func (s *State) sampleLoads(most int) map[ownership.MemberID]model.Load {
+// sampleLoads returns at most limit loads. The choice is that of the iteration of a map, which is random enough here.
+func (s *State) sampleLoads(limit int) map[ownership.MemberID]model.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sample := make(map[ownership.MemberID]model.Load, most)
+	sample := make(map[ownership.MemberID]model.Load, limit)
 	for id, load := range s.loads {
-		if len(sample) == most {
+		if len(sample) == limit {
 			break
 		}
 		sample[id] = load
--- a/internal/native/guard/admission.go
+++ b/internal/native/guard/admission.go
@@ -27,7 +27,7 @@
 //	the expected wait and a high quantile of the service time end after the deadline
 //
 // Reason: the owner has admitted the job on an older view. A refusal here lets it place the task elsewhere. It says only
-// that this start did not run the task; another start of it is decided anew.
+// that this start did not run the task; another start of it is another decision.
 //
 // Measured: MaxWait in commit 671fde2 (owner/place.go), the check of a stuck worker in commit 6e93315; the rest is not
 // measured alone.
--- a/internal/native/membership/liveness.go
+++ b/internal/native/membership/liveness.go
@@ -23,8 +23,8 @@
 //
 // Inputs: the time of the last message of each process, and the outcome of its last probe.
 //
-// Rule: a process that a response is due from is probed when nothing was heard from it for ResponseTimeout, by one probe
-// at a time. After a failed probe it is suspected for suspicionTimeout, or until something is heard from it.
+// Rule: while a response of a process is due, the process is probed when nothing was heard from it for ResponseTimeout, by
+// one probe at a time. After a failed probe it is suspected for suspicionTimeout, or until something is heard from it.
 //
 // Reason: suspicion only steers new work elsewhere. It removes nobody and moves no key, as a process that does not respond
 // may continue later. A probe is sent only where somebody waits, so that idle processes cost nothing.
--- a/internal/native/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -53,7 +53,7 @@
 
 // Times are the settings of a Membership.
 type Times struct {
-	// Retention is how long removed members stay on the roster; keys that were issued before are accepted no longer.
+	// Retention is how long removed members stay on the roster. After it no key that was issued before the removal is accepted.
 	Retention time.Duration
 	// ListLag is the longest lag of the platform's list of VMs.
 	ListLag time.Duration
--- a/internal/native/owner/owner_test.go
+++ b/internal/native/owner/owner_test.go
@@ -20,7 +20,7 @@
 	"sailhead/internal/native/placement"
 )
 
-// script drives one owner; guards and entries are what the script says of them.
+// script sends events to one owner. The script plays the guards and the entries.
 type script struct {
 	t      *testing.T
 	now    time.Time
@@ -120,7 +120,7 @@
 	}
 }
 
-// describe writes effects without what is drawn at random.
+// describe returns the effects as text, without their random parts.
 func describe(effects []Effect) string {
 	var lines []string
 	for _, effect := range effects {
--- a/internal/native/ownership/binding.go
+++ b/internal/native/ownership/binding.go
@@ -37,7 +37,7 @@
 // Binding is the record that an entry has of a key that it forwarded or promised. Its states are:
 //
 //	movable      nothing is unconfirmed, taken or promised; the key may go to another owner
-//	unconfirmed  a request may have reached the owner; Record ends the state with any other result
+//	unconfirmed  a request has no result, so it may have reached the owner; Record counts the results
 //	taken        the owner has answered for the key, so its records are with the owner or its heirs
 //	promised     a fence has bound the key to its owner
 //	conflict     Owner is "" and Taken is set: two entries had different owners (Inherit), or an owner that had taken the
--- a/internal/native/ownership/fence.go
+++ b/internal/native/ownership/fence.go
@@ -42,8 +42,8 @@
 // Rule: a settled key runs at once. Any other key is fenced first: it runs after every listed entry has promised to send it
 // to no other owner.
 //
-// Reason: for a settled key every entry has this owner as first choice and none can have sent the key elsewhere. The
-// entry that forwarded the key has bound it to this owner.
+// Reason: at most one owner has the key settled. Any other owner needs a promise of every entry, and an entry that has sent
+// the key here does not give one. The entry that forwarded the key has bound it to this owner, which counts as its promise.
 //
 // Measured: not a matter of load; spec/ownership.pml (NOFENCE). A fence costs two messages an entry.
 func (t *Table) accept(now time.Time, offer Offer) Decision {
@@ -127,7 +127,7 @@
 // Rule: the key is declined for any verdict but Promised, for a promise later than FenceTimeout, and for one under a later
 // epoch than this owner has. Otherwise the fence continues.
 //
-// Reason: a promise that comes after the entry has removed its binding is worth nothing. An entry with a later epoch may
+// Reason: a promise that comes after the entry has removed its binding does not bind it. An entry with a later epoch may
 // know of entries that this owner has not asked.
 //
 // Measured: found by random schedules in commit c42b581 (a double start after 6,605 schedules without a time limit, none in
--- a/internal/native/placement/doc.go
+++ b/internal/native/placement/doc.go
@@ -6,7 +6,7 @@
 // # State
 //
 // Each owner has a View: the workers of the listed agents, the newest load of each, and the owner's own tasks that the
-// load does not contain yet. The view is in memory; a restarted owner learns the loads anew.
+// load does not contain yet. The view is in memory; after a restart the owner has no loads until guards report.
 //
 // # Dependencies
 //
