--- a/spec/guard.pml
+++ b/spec/guard.pml
@@ -1,22 +1,25 @@
 /* SPDX-License-Identifier: MIT
  *
  * One task, its owner and two guards. Requests and replies are late or lost, guards restart.
- * Holds: the task starts at most once, and an owner that says "not started" says the truth.
+ * Holds: the task starts at most once, and has not started if the owner answers that it did not.
+ *
+ * Go code: internal/native/guard and the start of tasks in internal/native/daemon. docs/PROOFS.md lists the function that
+ * carries each rule.
  *
  * Rules and their mutants:
- *   NOFENCE    a guard that never saw a task refuses it once a report has asked
- *   MOVELOST   a task whose guard gives no answer is not moved
- *   NOINC      a restarted guard does not speak for its earlier incarnation
- *   NORECORD   a guard remembers the tasks that it has started
+ *   NOFENCE    a guard that answers a report on an unknown task never starts the task
+ *   MOVELOST   a task whose guard does not answer does not move to another guard
+ *   NOINC      a restarted guard rejects requests to its earlier incarnation
+ *   NORECORD   a guard has a record of each task that it has started
  */
 #define UNKNOWN 0
 #define RUN 1
 #define FENCED 2
 
-byte state[2];
+byte state[2];                              /* of the task at each guard */
 byte incarnation[2];
-byte started;
-bool said_not_started;
+byte started;                               /* how often the task has started */
+bool said_not_started;                      /* the owner has answered that the task did not start */
 chan start[2] = [2] of { byte };            /* the incarnation that the owner means */
 chan ask[2] = [1] of { byte };
 chan told[2] = [1] of { bool, bool };       /* not started here; known */
--- a/spec/handover.pml
+++ b/spec/handover.pml
@@ -4,27 +4,29 @@
  * Entry 0 leaves, entry 1 is its heir; A is the settled first choice, S its successor.
  * Holds: the submission starts at most once.
  *
+ * Go code: internal/native/ownership. docs/PROOFS.md lists the function that carries each rule.
+ *
  * Rules and their mutants:
  *   NOBINDINGS  a leaving entry hands its bindings over before it leaves the roster
- *   DROPASKED   an entry that was asked owes its promise although it has left
- *   KEEPOWN     of two bindings that differ, no owner is taken for sure
+ *   DROPASKED   a fence waits for the promise of an entry that was asked, also after the entry has left
+ *   KEEPOWN     a key with two bindings that differ is sent to neither owner
  */
 #define NONE 0
 #define A 1
 #define S 2
-#define STUCK 3
+#define STUCK 3            /* a conflict of two bindings: the key is sent to no owner */
 
-byte bound[2];
-bool sent[2];
-bool promised[2];
+byte bound[2];             /* the owner to which an entry has bound the key */
+bool sent[2];              /* the entry has sent the key to that owner */
+bool promised[2];          /* a fence has bound the key */
 bool closed;               /* entry 0 has handed over */
 bool left;                 /* the roster lists entry 0 no longer */
-byte to_a;
-byte to_s[2];              /* offers under the epoch before entry 0 left */
-byte to_s_after;           /* offers of entry 1 under the epoch after */
+byte to_a;                 /* requests under way to A */
+byte to_s[2];              /* to S, under the epoch before entry 0 left */
+byte to_s_after;           /* to S, of entry 1 under the epoch after */
 bool knows[2];             /* an entry has seen that entry 0 left */
-bool knows_s;
-byte started;
+bool knows_s;              /* S has seen that entry 0 left */
+byte started;              /* how often the submission has started */
 
 inline start_once() { started++; assert(started <= 1) }
 
@@ -76,7 +78,7 @@
   od
 }
 
-/* ask is one fence query at entry j; clear stays only with a promise. */
+/* ask asks entry j for its promise; without one, clear becomes false. */
 inline ask(j) {
   atomic {
     if
--- a/spec/join.pml
+++ b/spec/join.pml
@@ -4,23 +4,25 @@
  * Entries 0 and 1 are listed from epoch 1, entry 2 from epoch 2; A is the settled first choice,
  * S its successor. Holds: the submission starts at most once.
  *
+ * Go code: internal/native/ownership. docs/PROOFS.md lists the function that carries each rule.
+ *
  * Rules and their mutants:
- *   NOACK      a joined entry forwards only once the earlier ones have acknowledged it
- *   NOISSUE    ... and then only keys issued after that
- *   NOCATCHUP  a fence asks every entry of the highest epoch that an answer shows
- *   NOTOMB     a joined entry does not take a dead one's place for older keys
+ *   NOACK      a joined entry forwards keys only after the earlier ones have acknowledged its epoch
+ *   NOISSUE    and of those only the keys that were issued after that
+ *   NOCATCHUP  a fence asks every entry of the highest epoch that an entry answers with
+ *   NOTOMB     a joined entry does not forward an older key that only a dead entry may forward
  */
 #define NONE 0
 #define A 1
 #define S 2
 
-byte bound[3];
-byte epoch[3];
-bool up[3];
-bool issued;
-bool issued_after;
-byte to_a, to_s;
-byte started;
+byte bound[3];      /* the owner to which an entry has bound the key */
+byte epoch[3];      /* the epoch that an entry uses */
+bool up[3];         /* the entry is alive */
+bool issued;        /* the key is issued, */
+bool issued_after;  /* after both earlier entries had acknowledged epoch 2 */
+byte to_a, to_s;    /* requests under way to each owner */
+byte started;       /* how often the submission has started */
 
 inline forward(i) {
   if
--- a/spec/leave.pml
+++ b/spec/leave.pml
@@ -3,11 +3,13 @@
  * The first choice A stops as planned, or dies and starts anew, while its successor H becomes its heir.
  * One key, two entries. Holds: the submission starts at most once.
  *
+ * Go code: internal/native/ownership. docs/PROOFS.md lists the function that carries each rule.
+ *
  * Rules and their mutants:
- *   NORECORDS   a leaving owner gives its records to the heir before it leaves the roster
+ *   NORECORDS   a leaving owner hands its records to the heir before it leaves the roster
  *   FENCEPAST   records that come while an heir fences the key end the fence
- *   TAKELATE    it takes no key after it has given its records
- *   WRONGINC    a restarted owner refuses forwards that name its earlier incarnation
+ *   TAKELATE    a leaving owner runs no key after it has handed its records over
+ *   WRONGINC    a restarted owner refuses requests to its earlier incarnation
  *   RESETTLE    for a restarted owner a key issued before its restart is not settled
  */
 #define E 2
@@ -16,19 +18,18 @@
 #define H 2
 #define B 3       /* A's next incarnation */
 
-byte bound[E];
-bool sent[E];
-bool promised[E];
+byte bound[E];    /* the owner to which an entry has bound the key */
+bool sent[E];     /* the entry has sent the key to that owner */
+bool promised[E]; /* a fence has bound the key */
 byte seen[E];     /* what an entry knows of A: 0 listed, 1 left, 2 dead with B in its place */
 byte roster;      /* the same in the roster */
-bool handed;
-bool records;     /* H holds A's record of the key */
-bool held_a;
-bool decided_h;
-bool held_b;
-bool decided_b;
-byte to_a, to_h, to_b;
-byte started;
+bool handed;      /* A has handed its records over */
+bool records;     /* H has A's record of the key */
+bool held_a;      /* A has a record of the key */
+bool decided_h;   /* H has run or declined the key */
+bool decided_b;   /* B has run or declined the key */
+byte to_a, to_h, to_b; /* requests under way to each owner */
+byte started;     /* how often the submission has started */
 
 inline start_once() { started++; assert(started <= 1) }
 
--- a/spec/ownership.pml
+++ b/spec/ownership.pml
@@ -4,13 +4,15 @@
  * Entries crash, forwards and replies are late or lost, owners are unreachable, A crashes.
  * Holds: the submission starts at most once.
  *
+ * Go code: internal/native/ownership. docs/PROOFS.md lists the function that carries each rule.
+ *
  * Rules and their mutants:
- *   NOMEMO        an entry remembers the owner before it forwards
- *   NOFENCE       an entry keeps the promise that a fence asked for
- *   MOVELOST      a key whose forward may have arrived is not moved
- *   MOVEPROMISED  a promised key is not moved
- *   REDECIDE      an owner that declined a key never takes it
- *   IGNOREDEAD    the lost memory of a dead entry stops a fence
+ *   NOMEMO        an entry binds the key to an owner before it forwards the key
+ *   NOFENCE       an entry that promises binds the key to the owner that asked
+ *   MOVELOST      a key that a request may have carried to its owner does not move
+ *   MOVEPROMISED  a promised key does not move
+ *   REDECIDE      an owner that declined a key never runs it
+ *   IGNOREDEAD    a fence fails if an entry is dead, as its bindings are lost
  */
 #define E 2
 #define NONE 0
@@ -19,18 +21,18 @@
 #define TAKEN 1
 #define DECLINED 2
 
-byte bound[E];
-byte unsure[E];
-bool promised[E];
-bool taken[E];
-bool up[E];
+byte bound[E];             /* the owner to which an entry has bound the key */
+byte unconfirmed[E];       /* requests to that owner without a result */
+bool promised[E];          /* a fence has bound the key */
+bool taken[E];             /* the owner has answered for the key */
+bool up[E];                /* the entry is alive */
 bool alive_a = true;
-byte started;
-chan to_a = [3] of { byte };
+byte started;              /* how often the submission has started */
+chan to_a = [3] of { byte };            /* the entry that sends the request */
 chan to_s = [3] of { byte };
-chan reply[E] = [3] of { byte, byte };
+chan reply[E] = [3] of { byte, byte };  /* the owner, and TAKEN or DECLINED */
 
-#define movable(i) ((unsure[i] == 0 || lost_moves) && (!promised[i] || promise_moves) && !taken[i])
+#define movable(i) ((unconfirmed[i] == 0 || lost_moves) && (!promised[i] || promise_moves) && !taken[i])
 #ifdef MOVELOST
 #define lost_moves true
 #else
@@ -43,14 +45,14 @@
 #endif
 
 inline send(i) {
-  unsure[i]++;
+  unconfirmed[i]++;
   if
   :: bound[i] == A && nfull(to_a) -> to_a!i
   :: bound[i] == S && nfull(to_s) -> to_s!i
   :: else -> skip
   fi;
 #ifdef NOMEMO
-  bound[i] = NONE; unsure[i] = 0
+  bound[i] = NONE; unconfirmed[i] = 0
 #endif
 }
 
@@ -68,12 +70,12 @@
   :: atomic { up[i] && nempty(reply[i]) -> reply[i]?owner, what;
        if
        :: owner == bound[i] && what == TAKEN -> taken[i] = true;
-          if :: unsure[i] > 0 -> unsure[i]-- :: else fi
+          if :: unconfirmed[i] > 0 -> unconfirmed[i]-- :: else fi
        :: owner == bound[i] && what == DECLINED && !taken[i] ->
-          unsure[i] = 0; promised[i] = false; bound[i] = 3 - bound[i]
+          unconfirmed[i] = 0; promised[i] = false; bound[i] = 3 - bound[i]
        :: else
        fi }
-  :: atomic { up[i] -> up[i] = false; bound[i] = NONE; unsure[i] = 0; promised[i] = false; taken[i] = false }
+  :: atomic { up[i] -> up[i] = false; bound[i] = NONE; unconfirmed[i] = 0; promised[i] = false; taken[i] = false }
   :: timeout -> break
   od
 }
@@ -111,7 +113,7 @@
         do
         :: j < E -> atomic {
              if
-             :: j == i                              /* its own forward is its promise */
+             :: j == i                              /* the request of an entry counts as its promise */
              :: j != i && !up[j] ->
 #ifndef IGNOREDEAD
                 clear = false
