--- a/internal/native/guard/admission.go
+++ b/internal/native/guard/admission.go
@@ -56,11 +56,11 @@
 	return refusal, true
 }
 
-// dropLate refuses the waiting tasks that can no longer end in time.
+// dropLate fences the waiting tasks that can no longer end in time, and answers that they did not start.
 //
 // Inputs: the deadlines of the waiting tasks, the service times of their kinds, whether the worker is stuck.
 //
-// Rule: a waiting task is refused for good if the median service time from now ends after its deadline; if the worker is
+// Rule: a waiting task is fenced if the median service time from now ends after its deadline; if the worker is
 // stuck, all are.
 //
 // Reason: a task that is late before its start only takes a slot from others. The median is used, not the high quantile of
--- a/internal/native/guard/guard.go
+++ b/internal/native/guard/guard.go
@@ -124,8 +124,8 @@
 	return []Effect{Answer{ID: r.task.ID, Outcome: r.outcome}}
 }
 
-// report answers with the outcome of a task. A task that is unknown is fenced first, so that a start that is still under
-// way cannot run it; so is one that waits, if it is to be withdrawn.
+// report answers with the outcome of a task. An unknown task is fenced first, so that a start of it that arrives later does
+// not run it. A waiting task is fenced if it is to be withdrawn.
 func (g *Guard) report(asked ReportAsked) []Effect {
 	r, known := g.records[asked.ID]
 	switch {
@@ -171,7 +171,7 @@
 	return append([]Effect{answer}, g.fillSlots(now)...)
 }
 
-// fillSlots starts waiting tasks while slots are free. Waiting tasks that are too late are refused before.
+// fillSlots starts waiting tasks while slots are free. Waiting tasks that are too late are fenced before.
 func (g *Guard) fillSlots(now time.Time) []Effect {
 	effects := g.dropLate(now)
 	for g.running < g.limits.Slots && len(g.queue) > 0 {
--- a/internal/native/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -184,7 +184,8 @@
 	watch(ctx, m, m.configuration, func(c configuration.Configuration) { m.state.SeeConfiguration(c) })
 }
 
-// watch calls see with each newer value of a document until the context ends.
+// watch calls see with each newer value of a document until the context ends. A watch that fails is counted in
+// PlatformFailures and not logged; while the platform is down each watch fails every retryDelay.
 func watch[T any](ctx context.Context, m *Membership, document keyvalue.Document[T], see func(T)) {
 	var after uint64
 	for ctx.Err() == nil {
--- a/internal/native/owner/doc.go
+++ b/internal/native/owner/doc.go
@@ -43,7 +43,8 @@
 //	admission.go  when a job is refused before its first start
 //	quota.go      how much of an organisation's quota an owner may use
 //	order.go      when the tasks of a job are due, which orders the queues of the workers
-//	place.go      how often a task is placed, and when a job ends because a task has no worker
+//	place.go      how often a task is placed, when a job ends because a task has no worker, and which workers get no
+//	              tasks for some time
 //
 // Package placement chooses the worker of a task, and package ownership the owner of a key.
 package owner
--- a/internal/native/owner/job.go
+++ b/internal/native/owner/job.go
@@ -13,8 +13,10 @@
 
 // job is a submission without an answer.
 type job struct {
-	model   model.Job
-	kind    configuration.Kind
+	model model.Job
+	// kind has what operators set for the kind of the job; it is zero until started.
+	kind configuration.Kind
+	// waiters are the requests that get the answer.
 	waiters []Waiter
 	tasks   []task
 	// started is set once the fence is over and the job is admitted.
--- a/internal/native/owner/owner.go
+++ b/internal/native/owner/owner.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// Table returns the submission table. The caller must not run it through offers or fences itself.
+// Table returns the submission table, for inspection and for the hand-over of a planned stop. Offers, verdicts and inherited
+// records go through Handle.
 func (o *Owner) Table() *ownership.Table {
 	return o.table
 }
@@ -64,7 +65,7 @@
 	case LoadSeen:
 		o.view.Observe(e.Guard, e.Load)
 	case GuardUnresponsive:
-		o.view.Suspend(e.Guard, now.Add(reuseDelay))
+		o.suspend(now, e.Guard)
 	case Inherited:
 		return o.inherit(e)
 	case LeaveAsked:
@@ -229,7 +230,7 @@
 	case model.TaskNotStarted:
 		t.guard = ""
 		if outcome.Unreachable {
-			o.view.Suspend(e.Guard, now.Add(reuseDelay))
+			o.suspend(now, e.Guard)
 		}
 		j.retryAfter = max(j.retryAfter, outcome.RetryAfter)
 		return o.place(now, j, int(e.Task.Index))
--- a/internal/native/owner/place.go
+++ b/internal/native/owner/place.go
@@ -9,11 +9,11 @@
 
 	"sailhead/internal/native/admission"
 	"sailhead/internal/native/model"
+	"sailhead/internal/native/ownership"
 )
 
-// reuseDelay is how long a worker gets no tasks after its agent was unreachable or unresponsive. It is short because a
-// wrong suspicion costs capacity, and one task is enough to find out again. Not measured alone: commits 6e93315 and
-// 57e8035 measured it with other changes.
+// reuseDelay is how long a worker gets no tasks after its agent was unreachable or unresponsive; see suspend. Not measured
+// alone: commits 6e93315 and 57e8035 measured it with other changes.
 const reuseDelay = time.Second
 
 // maxTries is the number of guards to which a task is sent; see place. Not measured.
@@ -28,6 +28,20 @@
 	MaxWait time.Duration
 }
 
+// suspend excludes the worker of an agent from placement.
+//
+// Inputs: an outcome that says that the agent was unreachable, or a probe that it did not answer.
+//
+// Rule: the worker gets no tasks for reuseDelay. Tasks that are there already stay.
+//
+// Reason: each task that is sent to such an agent waits for an outcome. The time is short because a wrong suspicion costs
+// capacity, and one task is enough to find out again.
+//
+// Measured: as reuseDelay.
+func (o *Owner) suspend(now time.Time, guard ownership.MemberID) {
+	o.view.Suspend(guard, now.Add(reuseDelay))
+}
+
 // place sends a task to a guard that has not refused it, or ends the job if there is none.
 //
 // Inputs: the guards that the task was sent to before; the workers that accept tasks (placement.View).
--- a/internal/native/owner/quota.go
+++ b/internal/native/owner/quota.go
@@ -27,6 +27,7 @@
 //
 // Measured: no. Small quotas over many owners give shares below one task a second (docs/CAPACITY.md).
 type quotas struct {
+	// limiters has the bucket of each organisation with a quota, by its name.
 	limiters map[string]*rate.Limiter
 }
 
@@ -35,28 +36,28 @@
 }
 
 // set applies new quotas or a new number of owners. Tokens that were saved stay.
-func (q *quotas) set(now time.Time, teams []configuration.Team, owners int) {
+func (q *quotas) set(now time.Time, organisations []configuration.Team, owners int) {
 	known := q.limiters
-	q.limiters = make(map[string]*rate.Limiter, len(teams))
-	for _, team := range teams {
-		if team.Quota == 0 {
+	q.limiters = make(map[string]*rate.Limiter, len(organisations))
+	for _, each := range organisations {
+		if each.Quota == 0 {
 			continue
 		}
-		share := rate.Limit(float64(team.Quota) / float64(max(owners, 1)))
-		burst := max(team.Quota, model.MaxTasks)
-		limiter, ok := known[team.Name]
+		share := rate.Limit(float64(each.Quota) / float64(max(owners, 1)))
+		burst := max(each.Quota, model.MaxTasks)
+		limiter, ok := known[each.Name]
 		if !ok {
 			limiter = rate.NewLimiter(share, burst)
 		}
 		limiter.SetLimitAt(now, share)
 		limiter.SetBurstAt(now, burst)
-		q.limiters[team.Name] = limiter
+		q.limiters[each.Name] = limiter
 	}
 }
 
 // take removes a token for each task, or returns how long it takes until there are enough.
-func (q *quotas) take(now time.Time, team string, tasks int) (wait time.Duration, ok bool) {
-	limiter, limited := q.limiters[team]
+func (q *quotas) take(now time.Time, organisation string, tasks int) (wait time.Duration, ok bool) {
+	limiter, limited := q.limiters[organisation]
 	if !limited || limiter.AllowN(now, tasks) {
 		return 0, true
 	}
--- a/internal/native/ownership/forwarder.go
+++ b/internal/native/ownership/forwarder.go
@@ -15,7 +15,7 @@
 	limits   Limits
 	roster   Roster
 	bindings map[model.Key]*Binding
-	// closed is set by Close, for good: nothing is routed or promised after that.
+	// closed is set by Close and never cleared: nothing is routed or promised after that.
 	closed bool
 	// handedOver is set while an heir has or gets the bindings; the heir would not get bindings that are inherited then.
 	handedOver bool
--- a/internal/native/ownership/handover_entry.go
+++ b/internal/native/ownership/handover_entry.go
@@ -7,7 +7,7 @@
 	"sailhead/internal/native/model"
 )
 
-// Close ends routing and promising for good, and returns the bindings for an heir. The forwarder inherits no bindings until
+// Close ends routing and promising and returns the bindings for an heir. The forwarder inherits no bindings until
 // Reopen.
 func (f *Forwarder) Close() map[model.Key]Binding {
 	f.closed = true
--- a/internal/native/ownership/handover_owner.go
+++ b/internal/native/ownership/handover_owner.go
@@ -19,7 +19,7 @@
 	Key    model.Key
 	Hash   model.Hash
 	Answer model.Answer
-	// Attempt is the highest attempt that a NotRun answer stands for.
+	// Attempt is the highest attempt that got the answer NotRun.
 	Attempt  uint32
 	Declined bool
 	Touched  time.Time
--- a/internal/native/ownership/table.go
+++ b/internal/native/ownership/table.go
@@ -18,7 +18,7 @@
 	// refusedUntil is the latest time of a refusal that the full table could not record. Unknown keys issued before it
 	// are refused; see refuseUnrecorded.
 	refusedUntil time.Time
-	// leaving is set by Leave, for good.
+	// leaving is set by Leave and never cleared.
 	leaving bool
 	// handedOver is set while the heirs have or get the records; the heirs would not get records that are inherited then.
 	handedOver bool
--- a/internal/native/ownership/take.go
+++ b/internal/native/ownership/take.go
@@ -41,7 +41,7 @@
 // Ask asks entries for their promise. The job runs after all have promised.
 type Ask struct{ Entries []Member }
 
-// Decline refuses the key for good: this owner will never run it. BoundTo is the owner that may, if known.
+// Decline refuses the key permanently: this owner will never run it. BoundTo is the owner that may, if known.
 type Decline struct {
 	BoundTo MemberID
 	Reason  string
--- a/internal/native/placement/rank.go
+++ b/internal/native/placement/rank.go
@@ -5,9 +5,10 @@
 
 import "time"
 
-// rank holds what a comparison of workers has to know besides them.
+// rank has the inputs of a comparison of workers that are the same for all of them.
 type rank struct {
 	urgency int
+	// typical is the mean service time over all workers; see View.observeMean.
 	typical time.Duration
 }
 
@@ -19,8 +20,8 @@
 // Rule: the worker where the task is expected to end first (finish), then one in the zone of the owner, then the one with
 // fewer tasks ahead for each slot.
 //
-// Reason: expected work tells more than a number of tasks, as kinds differ in service time. Between equal
-// ends the near worker saves a hop between zones.
+// Reason: expected work tells more than a number of tasks, as kinds differ in service time. Between equal ends the near
+// worker saves a hop between zones.
 //
 // Measured: commit d20e05d, with a simulator that is gone, two sites, one slow worker at 60 % load: p99 of jobs with many
 // tasks 10.42 and 4.36 of the ideal when tasks were counted, 4.90 and 2.36 with this rule. The order after finish was not
