--- a/internal/native/admission/demand.go
+++ b/internal/native/admission/demand.go
@@ -9,8 +9,8 @@
 	"sailhead/internal/native/model"
 )
 
-// minSlotShare is the smallest part, 0 to 1, of the slots that Demand.Wait counts on for an urgency, however much of them
-// more urgent tasks use. It keeps the wait finite. Not measured.
+// minSlotShare is the smallest part, 0 to 1, of the slots that Demand.Wait counts on for an urgency, however much of
+// them more urgent tasks use. It keeps the wait finite. Not measured.
 const minSlotShare = 0.05
 
 // Demand is the work before a new task at one or more workers, as an immutable value.
@@ -42,8 +42,8 @@
 
 // Wait returns how long it takes until the last of the tasks has a slot.
 //
-// Inputs: the number of slots and of tasks, the expected work, and the part of the slots that each more urgent kind used
-// lately, as guards report it (guard.usage).
+// Inputs: the number of slots and of tasks, the expected work, and the part of the slots that each more urgent kind
+// used lately, as guards report it (guard.usage).
 //
 // Rule: there is no wait while the tasks fit the slots. Otherwise the wait is the work divided by the slots that more
 // urgent tasks leave, of which there are at least minSlotShare.
@@ -60,8 +60,8 @@
 	return time.Duration(float64(d.Work) / slots)
 }
 
-// Wait returns how long a new task of the urgency waits at one worker. The task itself adds no work, as it only needs to
-// start.
+// Wait returns how long a new task of the urgency waits at one worker. The task itself adds no work, as it only needs
+// to start.
 func Wait(load model.Load, urgency int) time.Duration {
 	demand := Demand{}.With(load, urgency)
 	demand.Ahead++
--- a/internal/native/admission/estimator.go
+++ b/internal/native/admission/estimator.go
@@ -24,8 +24,8 @@
 	minSamples = 20
 )
 
-// The quantiles of an Estimate, in percent. A high one plans new work, so that most tasks end in time; the median decides
-// whether work that was admitted is worth starting. Not measured alone; see commit 6e93315.
+// The quantiles of an Estimate, in percent. A high one plans new work, so that most tasks end in time; the median
+// decides whether work that was admitted is worth starting. Not measured alone; see commit 6e93315.
 const (
 	medianPercent = 50
 	highPercent   = 95
--- a/internal/native/admission/retryafter.go
+++ b/internal/native/admission/retryafter.go
@@ -19,8 +19,8 @@
 //
 // Input: the time that the work ahead needs.
 //
-// Rule: a random time between the backlog and twice that, where the backlog counts as at least minRetryAfter and at most
-// maxRetryAfter.
+// Rule: a random time between the backlog and twice that, where the backlog counts as at least minRetryAfter and at
+// most maxRetryAfter.
 //
 // Reason: work is refused in bursts; callers that retry at the same time would be the next one.
 //
--- a/internal/native/gossip/delta.go
+++ b/internal/native/gossip/delta.go
@@ -21,20 +21,20 @@
 // WholeDocument is the version by which a message asks for the whole configuration, not for changes since a version.
 const WholeDocument = math.MaxUint64
 
-// maxDocumentSize is the largest document that is read from a peer, in bytes after decompression. It bounds the memory that a
-// broken message can take; documents at the target size have about 110 KB (docs/CAPACITY.md).
+// maxDocumentSize is the largest document that is read from a peer, in bytes after decompression. It bounds the memory
+// that a broken message can take; documents at the target size have about 110 KB (docs/CAPACITY.md).
 const maxDocumentSize = 16 << 20
 
-// delta has the documents by which one process is ahead of another, as compressed JSON. Documents that are not newer are
-// empty. Of the configuration it has the whole or the changes, not both.
+// delta has the documents by which one process is ahead of another, as compressed JSON. Documents that are not newer
+// are empty. Of the configuration it has the whole or the changes, not both.
 type delta struct {
 	roster        []byte
 	configuration []byte
 	changes       []byte
 }
 
-// deltaSince returns what is newer here than the given versions. Of the configuration that is the changes since its version, or
-// the whole if the history does not reach back that far.
+// deltaSince returns what is newer here than the given versions. Of the configuration that is the changes since its
+// version, or the whole if the history does not reach back that far.
 func (e *Exchanger) deltaSince(rosterRevision, version uint64) (delta, error) {
 	var n delta
 	var err error
--- a/internal/native/gossip/doc.go
+++ b/internal/native/gossip/doc.go
@@ -7,13 +7,13 @@
 //
 // # State
 //
-// State has the newest roster, configuration and loads that the process has seen, from the platform or from peers. It is in
-// memory. A document is replaced only by one of a higher version, so nothing goes back.
+// State has the newest roster, configuration and loads that the process has seen, from the platform or from peers. It
+// is in memory. A document is replaced only by one of a higher version, so nothing goes back.
 //
 // # Dependencies
 //
-// Package membership reads and watches the documents at the platform and applies them to the same State. The daemon serves
-// Exchanger.Exchange to peers. Documents of the same version are equal, since they change by compare-and-swap.
+// Package membership reads and watches the documents at the platform and applies them to the same State. The daemon
+// serves Exchanger.Exchange to peers. Documents of the same version are equal, since they change by compare-and-swap.
 //
 // # Failures
 //
--- a/internal/native/gossip/exchange.go
+++ b/internal/native/gossip/exchange.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// maxLoads is the largest number of loads in a message, besides the sender's own. Measured in commit c42b581 with one peer
-	// an exchange: 1.4 to 1.5 KB/s a node, where more peers and loads had taken 5.9 to 8.5 KB/s.
+	// maxLoads is the largest number of loads in a message, besides the sender's own. Measured in commit c42b581,
+	// together with fewer peers an exchange and shorter ids: 1.4 to 1.5 KB/s a node, 5.9 to 8.5 KB/s before.
 	maxLoads = 3
 	// exchangeTimeout is the longest time of an exchange with one peer, both messages included. Not measured.
 	exchangeTimeout = 800 * time.Millisecond
 )
 
-// Exchanger exchanges versions and newer documents with other processes. It is safe for concurrent use; Heard and OwnLoad
-// must be set before.
+// Exchanger exchanges versions and newer documents with other processes. It is safe for concurrent use; Heard and
+// OwnLoad must be set before.
 type Exchanger struct {
 	state   *State
 	client  *peer.Client
@@ -51,8 +51,8 @@
 	}
 }
 
-// Run exchanges with fanout peers at each interval until the context ends. An exchange that fails is logged at debug level
-// and not repeated, as the next one has another peer.
+// Run exchanges with fanout peers at each interval until the context ends. An exchange that fails is logged at debug
+// level and not repeated, as the next one has another peer.
 func (e *Exchanger) Run(ctx context.Context, interval time.Duration, fanout int) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -89,8 +89,8 @@
 	return peers[:min(fanout, len(peers))]
 }
 
-// ExchangeWith exchanges with one peer. After it both have the newer version of each document. The first message has only
-// versions; the peer returns what is newer there, and a second message sends what is newer here.
+// ExchangeWith exchanges with one peer. After it both have the newer version of each document. The first message has
+// only versions; the peer returns what is newer there, and a second message sends what is newer here.
 func (e *Exchanger) ExchangeWith(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
--- a/internal/native/gossip/state.go
+++ b/internal/native/gossip/state.go
@@ -11,8 +11,8 @@
 	"sailhead/internal/native/ownership"
 )
 
-// Watchers are called with each newer version, in the order of the versions. They are called under the lock of the State, so
-// they must return soon and must not call the State. A nil function is not called.
+// Watchers are called with each newer version, in the order of the versions. They are called under the lock of the
+// State, so they must return soon and must not call the State. A nil function is not called.
 type Watchers struct {
 	Roster        func(ownership.Roster)
 	Configuration func(configuration.Configuration)
@@ -55,8 +55,8 @@
 	return s.configuration
 }
 
-// SeeRoster replaces the roster by one of a higher revision, and reports whether it did. Loads of agents that are no longer
-// listed are removed.
+// SeeRoster replaces the roster by one of a higher revision, and reports whether it did. Loads of agents that are no
+// longer listed are removed.
 func (s *State) SeeRoster(roster ownership.Roster) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/native/guard/admission.go
+++ b/internal/native/guard/admission.go
@@ -10,8 +10,8 @@
 	"sailhead/internal/native/model"
 )
 
-// This file decides which tasks the worker does not run: those that are refused on arrival (refuse), those that wait too
-// long (dropLate), and all that wait while the backend server hangs (isStuck).
+// This file decides which tasks the worker does not run: those that are refused on arrival (refuse), those that wait
+// too long (dropLate), and all that wait while the backend server hangs (isStuck).
 
 // refuse decides whether a new task is refused, and returns the outcome if it is.
 //
@@ -26,8 +26,8 @@
 //	the expected wait is longer than the MaxWait of the task, if it has one
 //	the expected wait and a high quantile of the service time end after the deadline
 //
-// Reason: the owner has admitted the job on an older view. A refusal here lets it place the task elsewhere. It says only
-// that this start did not run the task; another start of it is another decision.
+// Reason: the owner has admitted the job on an older view. A refusal here lets it place the task elsewhere. It says
+// only that this start did not run the task; another start of it is another decision.
 //
 // Measured: MaxWait in commit 671fde2 (owner/place.go), the check of a stuck worker in commit 6e93315; the rest is not
 // measured alone.
@@ -63,12 +63,12 @@
 // Rule: a waiting task is fenced if the median service time from now ends after its deadline; if the worker is
 // stuck, all are.
 //
-// Reason: a task that is late before its start only takes a slot from others. The median is used, not the high quantile of
-// refuse, as the task was admitted and other tasks of its job may be done. The owner can place the tasks of a stuck
+// Reason: a task that is late before its start only takes a slot from others. The median is used, not the high quantile
+// of refuse, as the task was admitted and other tasks of its job may be done. The owner can place the tasks of a stuck
 // worker elsewhere.
 //
-// Measured: as a part of commit 6e93315; starts that could not end in time fell from 679 and 3,357 to 0 (two sites at 150 %
-// load, a simulator that is gone).
+// Measured: as a part of commit 6e93315; starts that could not end in time fell from 679 and 3,357 to 0 (two sites at
+// 150 % load, a simulator that is gone).
 func (g *Guard) dropLate(now time.Time) []Effect {
 	var effects []Effect
 	isStuck := g.isStuck(now)
@@ -91,22 +91,23 @@
 	// stuckFactor is the number of mean service times without an end after which a worker is stuck; see isStuck. Not
 	// measured alone.
 	stuckFactor = 4
-	// minStuckTimeout is the shortest time without an end after which a worker is stuck. It covers kinds whose tasks are
-	// much longer than a small mean. Not measured alone.
+	// minStuckTimeout is the shortest time without an end after which a worker is stuck. It covers kinds whose tasks
+	// are much longer than a small mean. Not measured alone.
 	minStuckTimeout = 500 * time.Millisecond
 )
 
 // isStuck reports whether the backend server seems to end no tasks any more.
 //
-// Inputs: whether a slot is free, the time since the last end (or since the last slot was taken), and the mean service time.
+// Inputs: whether a slot is free, the time since the last end (or since the last slot was taken), and the mean service
+// time.
 //
 // Rule: a worker is stuck if no slot is free and no task has ended for stuckFactor mean service times, but at least for
 // minStuckTimeout.
 //
 // Reason: tasks that are sent to a backend server that hangs wait until their deadlines pass.
 //
-// Measured: commit 6e93315 as a whole, one dead worker at 60 % load: failed jobs of one kind fell from 2.9 % to 0.23 %, of another from
-// 5.9 % to 0.
+// Measured: commit 6e93315 as a whole, one dead worker at 60 % load: failed jobs of one kind fell from 2.9 % to 0.23 %,
+// of another from 5.9 % to 0.
 func (g *Guard) isStuck(now time.Time) bool {
 	timeout := max(stuckFactor*g.mean, minStuckTimeout)
 	return g.running >= g.limits.Slots && now.Sub(g.lastProgress) > timeout
--- a/internal/native/guard/event.go
+++ b/internal/native/guard/event.go
@@ -34,8 +34,8 @@
 // StartAsked is the request of an owner to start a task. It may come more than once for a task.
 type StartAsked struct{ Task Task }
 
-// ReportAsked is the request of an owner for the outcome of a task, after the reply to a start was lost or to withdraw the
-// task. A task that never arrived is fenced; with Withdraw, so is one that waits. Deadline is that of the task.
+// ReportAsked is the request of an owner for the outcome of a task, after the reply to a start was lost or to withdraw
+// the task. A task that never arrived is fenced; with Withdraw, so is one that waits. Deadline is that of the task.
 type ReportAsked struct {
 	ID       model.TaskID
 	Deadline time.Time
--- a/internal/native/guard/guard.go
+++ b/internal/native/guard/guard.go
@@ -124,8 +124,8 @@
 	return []Effect{Answer{ID: r.task.ID, Outcome: r.outcome}}
 }
 
-// report answers with the outcome of a task. An unknown task is fenced first, so that a start of it that arrives later does
-// not run it. A waiting task is fenced if it is to be withdrawn.
+// report answers with the outcome of a task. An unknown task is fenced first, so that a start of it that arrives later
+// does not run it. A waiting task is fenced if it is to be withdrawn.
 func (g *Guard) report(asked ReportAsked) []Effect {
 	r, known := g.records[asked.ID]
 	switch {
--- a/internal/native/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -31,7 +31,8 @@
 	return keyRosterPrefix + region
 }
 
-// retryDelay is the pause after a failed call to the platform. Not measured; the platform's limits are on calls a second.
+// retryDelay is the pause after a failed call to the platform. Not measured; the platform's limits are on calls a
+// second.
 const retryDelay = 300 * time.Millisecond
 
 // ErrRosterMoved is returned by Leave if the roster has changed since the hand-over. The hand-over must be made again.
@@ -53,7 +54,8 @@
 
 // Times are the settings of a Membership.
 type Times struct {
-	// Retention is how long removed members stay on the roster. After it no key that was issued before the removal is accepted.
+	// Retention is how long removed members stay on the roster. After it no key that was issued before the removal is
+	// accepted.
 	Retention time.Duration
 	// ListLag is the longest lag of the platform's list of VMs.
 	ListLag time.Duration
@@ -99,8 +101,8 @@
 	return ok && self.IsListed()
 }
 
-// Leave removes the process from the roster after a hand-over under the given epoch. It returns ErrRosterMoved if the roster
-// has another epoch by now. The heir is empty for an agent.
+// Leave removes the process from the roster after a hand-over under the given epoch. It returns ErrRosterMoved if the
+// roster has another epoch by now. The heir is empty for an agent.
 func (m *Membership) Leave(ctx context.Context, heir ownership.MemberID, epoch uint64) error {
 	return m.change(ctx, func(r ownership.Roster) (ownership.Roster, error) {
 		if self, ok := r.MemberByID(m.self.ID); !ok || !self.IsListed() {
--- a/internal/native/membership/vms.go
+++ b/internal/native/membership/vms.go
@@ -21,8 +21,8 @@
 
 // ReadList applies the platform's list of VMs to the roster at each interval until the context ends.
 //
-// One entry at a time reads the list, under a lease. The lease only saves requests to the platform: changes of the roster
-// are compare-and-swaps, and correct if several entries read.
+// One entry at a time reads the list, under a lease. The lease only saves requests to the platform: changes of the
+// roster are compare-and-swaps, and correct if several entries read.
 func (m *Membership) ReadList(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -45,7 +45,8 @@
 	}
 }
 
-// renewReaderLease renews the lease of the reader, or acquires it if no entry has it. It returns "" if another entry has it.
+// renewReaderLease renews the lease of the reader, or acquires it if no entry has it. It returns "" if another entry
+// has it.
 func (m *Membership) renewReaderLease(ctx context.Context, lease keyvalue.LeaseID) (keyvalue.LeaseID, error) {
 	if lease != "" {
 		err := m.platform.KeepAlive(ctx, lease)
@@ -87,12 +88,12 @@
 //
 // Inputs: the roster, the list of VMs with the state of each, the time, and the longest lag of the list.
 //
-// Rule: a listed member whose VM is on the list is marked as seen, and as leaving if the VM is; leaving is never undone. A
-// member that was seen and whose VM is no longer on the list is dead. Members that joined less than the lag ago are
-// left alone.
+// Rule: a listed member whose VM is on the list is marked as seen, and as leaving if the VM is; leaving is never
+// undone. A member that was seen and whose VM is no longer on the list is dead. Members that joined less than the lag
+// ago are left alone.
 //
-// Reason: a member that was never seen may have joined before the list shows its VM. For the time of the lag the list may
-// still show an earlier VM at the address. A process that does not respond is no proof of death: a removed agent's
+// Reason: a member that was never seen may have joined before the list shows its VM. For the time of the lag the list
+// may still show an earlier VM at the address. A process that does not respond is no proof of death: a removed agent's
 // keys may start elsewhere, so a removed agent that runs on could start them twice.
 //
 // Measured: no; the lag is a setting.
--- a/internal/native/owner/doc.go
+++ b/internal/native/owner/doc.go
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package owner runs the submissions that an agent owns: it admits each job, places the job's tasks on workers, collects
-// the results and answers the entries.
+// Package owner runs the submissions that an agent owns: it admits each job, places the job's tasks on workers,
+// collects the results and answers the entries.
 //
 // It is a state machine without I/O and without a clock. Owner.Handle applies one event at a given time and returns
 // effects, which package daemon carries out. Handle is not safe for concurrent use.
--- a/internal/native/owner/order.go
+++ b/internal/native/owner/order.go
@@ -6,7 +6,7 @@
 import "time"
 
 // sizeWeight is how many mean service times later a job is due that would fill every slot once; see dueTime. Measured
-// in commit 7e5a479: 2 and 8 had less effect, larger values were not tried.
+// in commit 7e5a479: 2 and 8 had less effect, no run with a larger one is recorded.
 const sizeWeight = 32
 
 // dueTime returns the time by which the guards order the tasks of a job among those of the same urgency.
--- a/internal/native/owner/owner.go
+++ b/internal/native/owner/owner.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Table returns the submission table, for inspection and for the hand-over of a planned stop. Offers, verdicts and inherited
-// records go through Handle.
+// Table returns the submission table, for inspection and for the hand-over of a planned stop. Offers, verdicts and
+// inherited records go through Handle.
 func (o *Owner) Table() *ownership.Table {
 	return o.table
 }
@@ -257,7 +257,8 @@
 	return o.finish(now, j, model.Complete{Results: j.results()})
 }
 
-// deadline fails a job whose deadline has passed. DeadlinePassed may come early, as the timer uses another clock reading.
+// deadline fails a job whose deadline has passed. DeadlinePassed may come early, as the timer uses another clock
+// reading.
 func (o *Owner) deadline(now time.Time, key model.Key) []Effect {
 	j, ok := o.jobs[key]
 	if !ok {
--- a/internal/native/owner/place.go
+++ b/internal/native/owner/place.go
@@ -12,8 +12,8 @@
 	"sailhead/internal/native/ownership"
 )
 
-// reuseDelay is how long a worker gets no tasks after its agent was unreachable or unresponsive; see suspend. Not measured
-// alone: commits 6e93315 and 57e8035 measured it with other changes.
+// reuseDelay is how long a worker gets no tasks after its agent was unreachable or unresponsive; see suspend. Not
+// measured alone: commits 6e93315 and 57e8035 measured it with other changes.
 const reuseDelay = time.Second
 
 // maxTries is the number of guards to which a task is sent; see place. Not measured.
@@ -34,8 +34,8 @@
 //
 // Rule: the worker gets no tasks for reuseDelay. Tasks that are there already stay.
 //
-// Reason: each task that is sent to such an agent waits for an outcome. The time is short because a wrong suspicion costs
-// capacity, and one task is enough to find out again.
+// Reason: each task that is sent to such an agent waits for an outcome. The time is short because a wrong suspicion
+// costs capacity, and one task is enough to find out again.
 //
 // Measured: as reuseDelay.
 func (o *Owner) suspend(now time.Time, guard ownership.MemberID) {
@@ -48,8 +48,8 @@
 //
 // Rule: a task is sent to each guard at most once, and to maxTries guards at most.
 //
-// Reason: a guard that refused a task refuses a second start of it too, and the answer should come soon when the
-// owner's view is that wrong.
+// Reason: a guard that has refused or fenced a task would most likely not start it now, and the answer should come soon
+// when the owner's view is that wrong.
 //
 // Measured: no.
 func (o *Owner) place(now time.Time, j *job, index int) []Effect {
--- a/internal/native/owner/quota.go
+++ b/internal/native/owner/quota.go
@@ -14,8 +14,8 @@
 
 // quotas limits the task starts of each organisation at this owner.
 //
-// Inputs: the organisation's quota, in task starts a second, 0 for none; the number of listed agents, each of which is an
-// owner; the number of tasks of a job.
+// Inputs: the organisation's quota, in task starts a second, 0 for none; the number of listed agents, each of which is
+// an owner; the number of tasks of a job.
 //
 // Rule: each owner has an equal share of the quota as a token bucket. A bucket holds one second of the whole quota, and
 // at least the tasks of one job of maximum size. A job that needs more tokens than the bucket has is refused; its
--- a/internal/native/ownership/binding.go
+++ b/internal/native/ownership/binding.go
@@ -88,8 +88,8 @@
 //
 // Rule: a binding whose key was taken becomes a conflict instead.
 //
-// Reason: an owner that took a key has a record of it, and so have its heirs; one that does not know the key proves that
-// the record is lost or elsewhere.
+// Reason: an owner that took a key has a record of it, and so have its heirs; one that does not know the key proves
+// that the record is lost or elsewhere.
 func (f *Forwarder) release(b *Binding, declined Declined) {
 	if b.Taken {
 		b.Owner = ""
--- a/internal/native/ownership/choice.go
+++ b/internal/native/ownership/choice.go
@@ -18,8 +18,8 @@
 //
 // Rule: rendezvous hashing; the highest score first.
 //
-// Reason: every process that has the same roster finds the same owner without messages, and a join or a removal moves only
-// the keys of that agent.
+// Reason: every process that has the same roster finds the same owner without messages, and a join or a removal moves
+// only the keys of that agent.
 //
 // Measured: no.
 func (r Roster) Choices(key model.Key) []Member {
@@ -49,8 +49,8 @@
 	return best, found
 }
 
-// firstChoiceSince returns the epoch since which an incarnation of an agent is the first choice for a key: it has joined, and
-// every member with a higher score is removed. It returns false if the agent is not the first choice.
+// firstChoiceSince returns the epoch since which an incarnation of an agent is the first choice for a key: it has
+// joined, and every member with a higher score is removed. It returns false if the agent is not the first choice.
 func (r Roster) firstChoiceSince(key model.Key, owner MemberID) (uint64, bool) {
 	self, ok := r.MemberByID(owner)
 	if !ok || !self.IsListed() {
@@ -70,8 +70,8 @@
 	return since, true
 }
 
-// score returns the rendezvous hash of the member's address and the key. The address is used, not the incarnation, so that a
-// process keeps its keys over a restart.
+// score returns the rendezvous hash of the member's address and the key. The address is used, not the incarnation, so
+// that a process keeps its keys over a restart.
 func (m Member) score(key model.Key) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(m.Address)
--- a/internal/native/ownership/fence.go
+++ b/internal/native/ownership/fence.go
@@ -24,8 +24,8 @@
 //
 // Reason: the promise of its heir may be older than the bindings that the heir inherited.
 //
-// Measured: found by random schedules in commit 91c2310 (seed 67147011; one double start in 200,000 schedules before, none
-// after); spec/handover.pml (DROPASKED).
+// Measured: found by random schedules in commit 91c2310 (seed 67147011; one double start in 200,000 schedules before,
+// none after); spec/handover.pml (DROPASKED).
 func (f *fence) isOpen() bool {
 	for id := range f.asked {
 		if !f.promised[id] {
@@ -39,11 +39,12 @@
 //
 // Inputs: the roster, the issue time of the key, the entry that forwarded it, and Limits.
 //
-// Rule: a settled key runs at once. Any other key is fenced first: it runs after every listed entry has promised to send it
-// to no other owner.
+// Rule: a settled key runs at once. Any other key is fenced first: it runs after every listed entry has promised to
+// send it to no other owner.
 //
-// Reason: at most one owner has the key settled. Any other owner needs a promise of every entry, and an entry that has sent
-// the key here does not give one. The entry that forwarded the key has bound it to this owner, which counts as its promise.
+// Reason: at most one owner has the key settled. Any other owner needs a promise of every entry, and an entry that has
+// sent the key here does not give one. The entry that forwarded the key has bound it to this owner, which counts as its
+// promise.
 //
 // Measured: not a matter of load; spec/ownership.pml (NOFENCE). A fence costs two messages an entry.
 func (t *Table) accept(now time.Time, offer Offer) Decision {
@@ -65,13 +66,13 @@
 
 // isSettled reports whether this owner is the first choice for the key at every entry that may forward it.
 //
-// Inputs: the epoch since which this owner is first choice, the time at which every entry had acknowledged that epoch, the
-// issue time of the key.
+// Inputs: the epoch since which this owner is first choice, the time at which every entry had acknowledged that epoch,
+// the issue time of the key.
 //
 // Rule: the key was issued later than that time by Limits.margin.
 //
-// Reason: every entry that forwards the key then knows a roster in which this owner is first choice. The epoch of an earlier
-// incarnation does not count (RESETTLE in spec/leave.pml), as its records are lost.
+// Reason: every entry that forwards the key then knows a roster in which this owner is first choice. The epoch of an
+// earlier incarnation does not count (RESETTLE in spec/leave.pml), as its records are lost.
 func (t *Table) isSettled(now time.Time, key model.Key) bool {
 	since, ok := t.roster.firstChoiceSince(key, t.self)
 	return ok && t.limits.issuedAfter(t.roster, since, key, now)
@@ -122,16 +123,17 @@
 	return true
 }
 
-// Fenced applies the verdict of an entry and the epoch that the entry used. It returns false for a fence that has ended.
+// Fenced applies the verdict of an entry and the epoch that the entry used. It returns false for a fence that has
+// ended.
 //
-// Rule: the key is declined for any verdict but Promised, for a promise later than FenceTimeout, and for one under a later
-// epoch than this owner has. Otherwise the fence continues.
+// Rule: the key is declined for any verdict but Promised, for a promise later than FenceTimeout, and for one under a
+// later epoch than this owner has. Otherwise the fence continues.
 //
-// Reason: a promise that comes after the entry has removed its binding does not bind it. An entry with a later epoch may
-// know of entries that this owner has not asked.
+// Reason: a promise that comes after the entry has removed its binding does not bind it. An entry with a later epoch
+// may know of entries that this owner has not asked.
 //
-// Measured: found by random schedules in commit c42b581 (a double start after 6,605 schedules without a time limit, none in
-// 100,000 after); spec/join.pml (NOCATCHUP).
+// Measured: found by random schedules in commit c42b581 (a double start after 6,605 schedules without a time limit,
+// none in 100,000 after); spec/join.pml (NOCATCHUP).
 func (t *Table) Fenced(now time.Time, key model.Key, entry MemberID, verdict Verdict, epoch uint64) (Decision, bool) {
 	r, ok := t.records[key]
 	if !ok || r.state != stateFencing {
--- a/internal/native/ownership/forwarder.go
+++ b/internal/native/ownership/forwarder.go
@@ -17,7 +17,8 @@
 	bindings map[model.Key]*Binding
 	// closed is set by Close and never cleared: nothing is routed or promised after that.
 	closed bool
-	// handedOver is set while an heir has or gets the bindings; the heir would not get bindings that are inherited then.
+	// handedOver is set while an heir has or gets the bindings; the heir would not get bindings that are inherited
+	// then.
 	handedOver bool
 }
 
--- a/internal/native/ownership/handover_entry.go
+++ b/internal/native/ownership/handover_entry.go
@@ -31,18 +31,19 @@
 	return a == b || okA && okB && holderOfA.ID == holderOfB.ID
 }
 
-// Inherit adds the bindings of an entry that leaves. It returns false, and adds none, if there is no room for all or if this
-// forwarder has handed its own bindings over.
+// Inherit adds the bindings of an entry that leaves. It returns false, and adds none, if there is no room for all or if
+// this forwarder has handed its own bindings over.
 //
 // Inputs: the own and the inherited binding of each key, and the agents that have the records of both owners.
 //
-// Rule: bindings of which one agent has the records are merged, as is an inherited one that may move. An own binding that may
-// move is replaced. Two bindings that differ and must not move become a conflict, which no request is sent for.
+// Rule: bindings of which one agent has the records are merged, as is an inherited one that may move. An own binding
+// that may move is replaced. Two bindings that differ and must not move become a conflict, which no request is sent
+// for.
 //
 // Reason: of two owners that may both have the key, neither can be shown to be the one that runs it.
 //
-// Measured: commit 98fb7b5: TestPlannedStopsCutNothingOff failed 4 of 7 runs while owners were compared by name, none of 8
-// after. The conflict is KEEPOWN in spec/handover.pml.
+// Measured: commit 98fb7b5: TestPlannedStopsCutNothingOff failed 4 of 7 runs while owners were compared by name, none
+// of 8 after. The conflict is KEEPOWN in spec/handover.pml.
 func (f *Forwarder) Inherit(bindings map[model.Key]Binding) bool {
 	if f.handedOver || len(f.bindings)+len(bindings) > f.limits.Entries {
 		return false
--- a/internal/native/ownership/handover_owner.go
+++ b/internal/native/ownership/handover_owner.go
@@ -25,9 +25,9 @@
 	Touched  time.Time
 }
 
-// Handover returns the records for each heir and the epoch of the roster in use. The caller waits until nothing runs, and
-// removes this owner from the roster only under that epoch, as heirs change with it. The table inherits no records until
-// Reopen.
+// Handover returns the records for each heir and the epoch of the roster in use. The caller waits until nothing runs,
+// and removes this owner from the roster only under that epoch, as heirs change with it. The table inherits no records
+// until Reopen.
 //
 // Rule: the heir of a key is its first choice among the other agents.
 //
@@ -63,14 +63,14 @@
 	return Member{}, false
 }
 
-// Inherit adds the records of an owner that leaves. It returns the keys whose fences the records end, and false, with nothing
-// added, if there is no room for all or if this table has handed its own records over.
+// Inherit adds the records of an owner that leaves. It returns the keys whose fences the records end, and false, with
+// nothing added, if there is no room for all or if this table has handed its own records over.
 //
 // Inputs: the own and the inherited record of each key.
 //
-// Rule: an inherited answer is added if the key is unknown, declined, or being fenced; in the last case it ends the fence.
-// A running or answered key keeps its own record; of two refusals the later attempt counts. An inherited decline is
-// not added.
+// Rule: an inherited answer is added if the key is unknown, declined, or being fenced; in the last case it ends the
+// fence. A running or answered key keeps its own record; of two refusals the later attempt counts. An inherited decline
+// is not added.
 //
 // Reason: entries promise the key to the heir from now on, so a fence would succeed although the key has an answer. A
 // decline binds only the owner that gave it.
--- a/internal/native/ownership/heir.go
+++ b/internal/native/ownership/heir.go
@@ -7,8 +7,8 @@
 	"sailhead/internal/native/model"
 )
 
-// heirOf returns the agent that has the records of an owner for a key: the owner itself while it is listed, otherwise the
-// heir of its planned stop, and so on. It returns false if one of them died, as its records are lost.
+// heirOf returns the agent that has the records of an owner for a key: the owner itself while it is listed, otherwise
+// the heir of its planned stop, and so on. It returns false if one of them died, as its records are lost.
 //
 // Rule: the heir of a key is the first choice in the epoch that removed the owner; see Table.Handover.
 func (r Roster) heirOf(key model.Key, owner MemberID) (Member, bool) {
@@ -22,8 +22,8 @@
 	return m, ok
 }
 
-// entryHeir returns the entry that has the bindings of an entry: itself while it is listed, otherwise the heir of its planned
-// stop, and so on. It returns false if one of them died or had no heir.
+// entryHeir returns the entry that has the bindings of an entry: itself while it is listed, otherwise the heir of its
+// planned stop, and so on. It returns false if one of them died or had no heir.
 func (r Roster) entryHeir(id MemberID) (Member, bool) {
 	m, ok := r.MemberByID(id)
 	for ok && !m.IsListed() {
--- a/internal/native/ownership/limits.go
+++ b/internal/native/ownership/limits.go
@@ -19,8 +19,8 @@
 	Entries int
 }
 
-// margin is by how much the issue time of a key must be later than an event on the roster for the key to count as issued
-// after it. The clock that issued the key may be ahead by Skew, and the one that timed the event behind by Skew.
+// margin is by how much the issue time of a key must be later than an event on the roster for the key to count as
+// issued after it. The clock that issued the key may be ahead by Skew, and the one that timed the event behind by Skew.
 func (l Limits) margin() time.Duration {
 	return 2 * l.Skew
 }
@@ -29,13 +29,14 @@
 // declined as a promise came later, on a busy machine; other values were not tried.
 const FenceTimeout = time.Second
 
-// Retention is how long after its last use the record of a key is kept: as long as a caller or a late message can bring the
-// key again, and for the fence that this would begin.
+// Retention is how long after its last use the record of a key is kept: as long as a caller or a late message can bring
+// the key again, and for the fence that this would begin.
 func (l Limits) Retention() time.Duration {
 	return l.Window + l.margin() + FenceTimeout
 }
 
-// issueTime returns when the key was issued. A key without a time counts as one Window old, so it is never settled.
+// issueTime returns when the key was issued. A key without a time counts as one Window old, the oldest that is
+// accepted.
 func (l Limits) issueTime(key model.Key, now time.Time) time.Time {
 	if issued, ok := key.IssuedAt(); ok {
 		return issued
--- a/internal/native/ownership/promise.go
+++ b/internal/native/ownership/promise.go
@@ -29,8 +29,9 @@
 //
 // Inputs: the binding of the key, the asking owner, and the agents that have the records of both.
 //
-// Rule: an unknown key, a key that may move, and a key that is bound to the asker or to an owner whose records the asker has
-// are promised. Any other key is bound elsewhere. A closed forwarder, and a full one for an unknown key, cannot tell.
+// Rule: an unknown key, a key that may move, and a key that is bound to the asker or to an owner whose records the
+// asker has are promised. Any other key is bound elsewhere. A closed forwarder, and a full one for an unknown key,
+// cannot tell.
 //
 // Reason: the asker starts the key once all entries have promised, so a promise must hold until the binding expires. A
 // forwarder that cannot record a promise must not give it.
--- a/internal/native/ownership/roster.go
+++ b/internal/native/ownership/roster.go
@@ -17,8 +17,8 @@
 	At    time.Time `json:"at"`
 }
 
-// Roster is the list of the entries and agents of a region, as an immutable value. It is stored as JSON in the platform's
-// key-value service.
+// Roster is the list of the entries and agents of a region, as an immutable value. It is stored as JSON in the
+// platform's key-value service.
 type Roster struct {
 	// Epoch grows with each join and removal.
 	Epoch uint64 `json:"epoch"`
@@ -26,8 +26,8 @@
 	Revision uint64 `json:"revision"`
 	// Members are the listed members and those that were removed not long ago; see WithPruned.
 	Members []Member `json:"members"`
-	// Settled are the settlements in the order of their epochs. An epoch that was never settled alone is settled with the
-	// next one.
+	// Settled are the settlements in the order of their epochs. An epoch that was never settled alone is settled with
+	// the next one.
 	Settled []Settlement `json:"settled"`
 }
 
--- a/internal/native/ownership/roster_change.go
+++ b/internal/native/ownership/roster_change.go
@@ -34,8 +34,8 @@
 	return r.withRemoved(id, now, RemovalDead, "")
 }
 
-// WithLeft returns the roster with a member removed that has handed its bindings or records over. The heir is empty for an
-// agent.
+// WithLeft returns the roster with a member removed that has handed its bindings or records over. The heir is empty for
+// an agent.
 func (r Roster) WithLeft(id MemberID, heir MemberID, now time.Time) (Roster, error) {
 	return r.withRemoved(id, now, RemovalLeft, heir)
 }
@@ -77,13 +77,13 @@
 	return next, nil
 }
 
-// WithPruned returns the roster without the removed members and settlements that no longer matter. It returns the same roster
-// if there are none.
+// WithPruned returns the roster without the removed members and settlements that no longer matter. It returns the same
+// roster if there are none.
 //
 // Inputs: before, the time of the oldest event that still matters: the issue of the oldest key that is accepted.
 //
-// Rule: a removed member goes if it was removed, and its removal was acknowledged by every entry, before that time. Of the
-// settlements before it the last one stays.
+// Rule: a removed member goes if it was removed, and its removal was acknowledged by every entry, before that time. Of
+// the settlements before it the last one stays.
 //
 // Reason: firstChoiceSince, heirOf and Table.remembers need removed members only for keys issued around the removal.
 //
@@ -126,8 +126,8 @@
 	return r
 }
 
-// settle returns the roster with a settlement of the highest epoch that every listed entry has acknowledged, if that epoch
-// had none. Without entries every epoch counts as acknowledged.
+// settle returns the roster with a settlement of the highest epoch that every listed entry has acknowledged, if that
+// epoch had none. Without entries every epoch counts as acknowledged.
 func (r Roster) settle(now time.Time) Roster {
 	acked := r.Epoch
 	for _, m := range r.Members {
--- a/internal/native/ownership/route.go
+++ b/internal/native/ownership/route.go
@@ -28,19 +28,19 @@
 
 // Route decides where a submission is sent, and binds its key if that is an owner.
 //
-// Inputs: the roster, the binding of the key, the issue time of the key; avoid, the members that this submission could not
-// reach; suspects, the members that do not respond.
+// Inputs: the roster, the binding of the key, the issue time of the key; avoid, the members that this submission could
+// not reach; suspects, the members that do not respond.
 //
-// Rule: an entry that must not forward the key (mayForward) relays it through one that may. An unknown key is bound to the
-// first of the key's choices that is not to be avoided, and not suspected unless all are. A known key goes to the
+// Rule: an entry that must not forward the key (mayForward) relays it through one that may. An unknown key is bound to
+// the first of the key's choices that is not to be avoided, and not suspected unless all are. A known key goes to the
 // agent that has the records of its owner. If that agent is to be avoided, or is suspected, the key moves to the next
 // choice, but only if the binding may move (Binding.mayMove). A binding that must not move keeps a suspected owner.
 //
 // Reason: a key that was or may have been sent to one owner could start twice at another. A suspected owner may answer
 // later, so it is no reason to fail what is bound to it.
 //
-// Measured: that suspects keep their keys, in commit df2f64a: eight copies of the system tests at a time, 1 of 64 runs failed
-// before, 0 of 48 after. That keys must not move is in spec/ownership.pml (MOVELOST, MOVEPROMISED, NOMEMO).
+// Measured: that suspects keep their keys, in commit df2f64a: eight copies of the system tests at a time, 1 of 64 runs
+// failed before, 0 of 48 after. That keys must not move is in spec/ownership.pml (MOVELOST, MOVEPROMISED, NOMEMO).
 func (f *Forwarder) Route(now time.Time, key model.Key, avoid, suspects []MemberID) Route {
 	if f.closed {
 		return NoRoute{Reason: "the entry is stopping"}
@@ -64,8 +64,8 @@
 	return f.move(b, key, avoid, suspects)
 }
 
-// bindNew binds an unknown key, unless the table is full. An entry with a full table fails the key: it cannot know whether
-// another entry sent it before.
+// bindNew binds an unknown key, unless the table is full. An entry with a full table fails the key: it cannot know
+// whether another entry sent it before.
 func (f *Forwarder) bindNew(now time.Time, key model.Key, avoid, suspects []MemberID) Route {
 	if len(f.bindings) >= f.limits.Entries {
 		return NoRoute{Reason: "the entry's table is full"}
@@ -122,8 +122,8 @@
 //
 // Inputs: the roster, the issue time of the key, and Limits.margin.
 //
-// Rule: the entry is listed, and either the key was issued after every entry had acknowledged the epoch in which the entry
-// joined, or no other entry joined before. An entry counts as joined with the earliest entry whose bindings it
+// Rule: the entry is listed, and either the key was issued after every entry had acknowledged the epoch in which the
+// entry joined, or no other entry joined before. An entry counts as joined with the earliest entry whose bindings it
 // inherited.
 //
 // Reason: an earlier entry may have sent an older key to any owner, and a joined entry has no binding of it. A removed
--- a/internal/native/ownership/table.go
+++ b/internal/native/ownership/table.go
@@ -20,7 +20,8 @@
 	refusedUntil time.Time
 	// leaving is set by Leave and never cleared.
 	leaving bool
-	// handedOver is set while the heirs have or get the records; the heirs would not get records that are inherited then.
+	// handedOver is set while the heirs have or get the records; the heirs would not get records that are inherited
+	// then.
 	handedOver bool
 	// running counts the records under way, being fenced or running.
 	running int
--- a/internal/native/ownership/take.go
+++ b/internal/native/ownership/take.go
@@ -74,7 +74,8 @@
 //	the table is full                   Reply with NotRun (refuseUnrecorded)
 //	otherwise                           Run or Ask (accept)
 //
-// Reason: a key is accepted only under the epoch of the entry that forwards it, so that both agree who was first choice.
+// Reason: a key is accepted only under the epoch of the entry that forwards it, so that both agree who was first
+// choice.
 //
 // Measured: not a matter of load; spec/leave.pml (WRONGINC, TAKELATE), spec/ownership.pml (REDECIDE).
 func (t *Table) Take(now time.Time, offer Offer) Decision {
@@ -97,8 +98,8 @@
 	return t.takeNew(now, offer)
 }
 
-// takeKnown decides on an offer of a key with a record. A NotRun answer is final for its attempt: a copy of that attempt, or
-// of an earlier one, gets the same answer, and only a later attempt may run.
+// takeKnown decides on an offer of a key with a record. A NotRun answer is final for its attempt: a copy of that
+// attempt, or of an earlier one, gets the same answer, and only a later attempt may run.
 func (t *Table) takeKnown(now time.Time, r *record, offer Offer) Decision {
 	switch {
 	case r.state == stateDeclined:
--- a/internal/native/placement/place.go
+++ b/internal/native/placement/place.go
@@ -13,11 +13,11 @@
 
 // Place chooses the worker for a task. It returns false if no worker is left.
 //
-// Inputs: the workers that are not draining, leaving or suspended; those where the task was tried; the urgency of the task;
-// the policy.
+// Inputs: the workers that are not draining, leaving or suspended; those where the task was tried; the urgency of the
+// task; the policy.
 //
-// Rule: the owner's own worker if it has a free slot and is not slow, otherwise what the policy chooses among the workers
-// where the task was not tried.
+// Rule: the owner's own worker if it has a free slot and is not slow, otherwise what the policy chooses among the
+// workers where the task was not tried.
 //
 // Reason: a start at the owner's own worker needs no message. For the policies see policy.go.
 //
@@ -53,12 +53,14 @@
 // sites: starts that could not end in time were 5 and 37 with 1.25, 0 and 19 with 1.5, 0 and 0 with 2.
 const waitFactor = 2.0
 
-// Finish estimates how long the last of a number of new tasks takes to end. It returns false if no worker accepts tasks.
+// Finish estimates how long the last of a number of new tasks takes to end. It returns false if no worker accepts
+// tasks.
 //
 // Inputs: the loads of the workers that accept tasks, with this owner's tasks since then; the number and the urgency of
 // the tasks; the service times of their kind.
 //
-// Rule: the wait over all workers together (admission.Demand.Wait) times waitFactor, and a high quantile of the service time.
+// Rule: the wait over all workers together (admission.Demand.Wait) times waitFactor, and a high quantile of the service
+// time.
 //
 // Reason: the owner may place the tasks on any worker. The factor is there because other owners admit jobs at the same
 // time on the same view, and because a job of which one task comes too late has wasted all the others.
--- a/internal/native/placement/policy.go
+++ b/internal/native/placement/policy.go
@@ -17,7 +17,8 @@
 // them. Random alone suffers from slow workers.
 //
 // Measured: docs/MEASUREMENTS.md, Baselines, with a simulator that is gone. The policies differ little at 80 % load;
-// TwoChoices is the default for its p50 of jobs with many tasks, and for its p99 with a slow worker.
+// TwoChoices is the default for its p50 of jobs with many tasks, and for its p99 of single tasks at 95 % load and with
+// a slow worker.
 type Policy interface{ isPolicy() }
 
 // Random chooses any worker.
--- a/internal/native/placement/rank.go
+++ b/internal/native/placement/rank.go
@@ -17,15 +17,15 @@
 // Inputs: the loads of both workers with this owner's tasks since then, the typical mean service time, and the
 // availability zone of the owner.
 //
-// Rule: the worker where the task is expected to end first (finish), then one in the zone of the owner, then the one with
-// fewer tasks ahead for each slot.
+// Rule: the worker where the task is expected to end first (finish), then one in the zone of the owner, then the one
+// with fewer tasks ahead for each slot.
 //
 // Reason: expected work tells more than a number of tasks, as kinds differ in service time. Between equal ends the near
 // worker saves a hop between zones.
 //
-// Measured: commit d20e05d, with a simulator that is gone, two sites, one slow worker at 60 % load: p99 of jobs with many
-// tasks 10.42 and 4.36 of the ideal when tasks were counted, 4.90 and 2.36 with this rule. The order after finish was not
-// measured.
+// Measured: commit d20e05d, with a simulator that is gone, two sites, one slow worker at 60 % load: p99 of jobs with
+// many tasks 10.42 and 4.36 of the ideal when tasks were counted, 4.90 and 2.36 with this rule. The order after finish
+// was not measured.
 func (w *worker) isBetter(other *worker, by rank) bool {
 	own, others := w.finish(by), other.finish(by)
 	if own != others {
@@ -39,8 +39,8 @@
 
 // finish estimates when a new task would end, in typical service times from now.
 //
-// Rule: the slowness of the worker, and if no slot is free, the expected work ahead divided by the slots. A task of this
-// owner that the load does not contain counts as one typical service time. Workers with a free slot that are not
+// Rule: the slowness of the worker, and if no slot is free, the expected work ahead divided by the slots. A task of
+// this owner that the load does not contain counts as one typical service time. Workers with a free slot that are not
 // slow are equal.
 func (w *worker) finish(by rank) float64 {
 	slowness := w.slowness(by.typical)
--- a/internal/native/placement/view.go
+++ b/internal/native/placement/view.go
@@ -30,8 +30,8 @@
 	return &View{self: self, zone: zone, policy: policy, random: random, workers: make(map[ownership.MemberID]*worker)}
 }
 
-// SetMembers sets the workers to those of the listed agents. Draining reports whether operators drain a worker by its name.
-// Loads of workers that stay are retained; a new worker counts as one with one free slot until its load is known.
+// SetMembers sets the workers to those of the listed agents. Draining reports whether operators drain a worker by its
+// name. Loads of workers that stay are retained; a new worker counts as one with one free slot until its load is known.
 func (v *View) SetMembers(agents []ownership.Member, draining func(name string) bool) {
 	known := v.workers
 	v.workers = make(map[ownership.MemberID]*worker, len(agents))
