--- a/internal/native/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -115,21 +115,6 @@
 	})
 }
 
-// Refresh reads the roster and the configuration from the platform once.
-func (m *Membership) Refresh(ctx context.Context) error {
-	roster, _, err := m.roster.Get(ctx)
-	if err != nil {
-		return err
-	}
-	m.state.SeeRoster(roster)
-	config, _, err := m.configuration.Get(ctx)
-	if err != nil {
-		return err
-	}
-	m.state.SeeConfiguration(config)
-	return nil
-}
-
 // change applies a change to the roster in the platform, and then the result to the state.
 func (m *Membership) change(ctx context.Context, change func(ownership.Roster) (ownership.Roster, error)) error {
 	roster, _, err := m.roster.Update(ctx, func(old ownership.Roster) (ownership.Roster, error) {
@@ -146,64 +131,6 @@
 	return nil
 }
 
-// Acknowledge writes the epochs that this entry uses to the roster until the context ends.
-func (m *Membership) Acknowledge(ctx context.Context, epochs <-chan uint64) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case epoch := <-epochs:
-			m.acknowledge(ctx, epoch)
-		}
-	}
-}
-
-// acknowledge writes one epoch to the roster and retries until it succeeds or the context ends.
-func (m *Membership) acknowledge(ctx context.Context, epoch uint64) {
-	for ctx.Err() == nil {
-		err := m.change(ctx, func(r ownership.Roster) (ownership.Roster, error) {
-			if self, ok := r.MemberByID(m.self.ID); !ok || !self.IsListed() || self.Acked >= epoch {
-				return r, keyvalue.ErrUnchanged
-			}
-			return r.WithAck(m.self.ID, epoch, time.Now())
-		})
-		if err == nil {
-			return
-		}
-		m.metrics.Add(metric.PlatformFailures, 1)
-		_ = level.Warn(m.logger).Log("msg", "unable to acknowledge the epoch", "epoch", epoch, "err", err)
-		_ = sleep(ctx, retryDelay)
-	}
-}
-
-// WatchRoster follows the roster at the platform until the context ends.
-func (m *Membership) WatchRoster(ctx context.Context) {
-	watch(ctx, m, m.roster, func(r ownership.Roster) { m.state.SeeRoster(r) })
-}
-
-// WatchConfiguration follows the configuration at the platform until the context ends.
-func (m *Membership) WatchConfiguration(ctx context.Context) {
-	watch(ctx, m, m.configuration, func(c configuration.Configuration) { m.state.SeeConfiguration(c) })
-}
-
-// watch calls see with each newer value of a document until the context ends. A watch that fails is counted in
-// PlatformFailures and not logged; while the platform is down each watch fails every retryDelay.
-func watch[T any](ctx context.Context, m *Membership, document keyvalue.Document[T], see func(T)) {
-	var after uint64
-	for ctx.Err() == nil {
-		value, revision, err := document.Watch(ctx, after)
-		if err != nil {
-			m.metrics.Add(metric.PlatformFailures, 1)
-			_ = sleep(ctx, retryDelay)
-			continue
-		}
-		if revision > after {
-			after = revision
-			see(value)
-		}
-	}
-}
-
 // sleep waits for the pause or the end of the context, and returns the error of the context.
 func sleep(ctx context.Context, pause time.Duration) error {
 	select {
--- a/internal/native/owner/doc.go
+++ b/internal/native/owner/doc.go
@@ -41,6 +41,7 @@
 // # Decisions
 //
 //	admission.go  when a job is refused before its first start
+//	answer.go     what the outcome of a task and the deadline mean for a job
 //	quota.go      how much of an organisation's quota an owner may use
 //	order.go      when the tasks of a job are due, which orders the queues of the workers
 //	place.go      how often a task is placed, when a job ends because a task has no worker, and which workers get no
