--- a/internal/native/owner/owner_test.go
+++ b/internal/native/owner/owner_test.go
@@ -20,7 +20,7 @@
 	"sailhead/internal/native/placement"
 )
 
-// script drives one owner; guards and entries are what the script says of them.
+// script sends events to one owner. The script plays the guards and the entries.
 type script struct {
 	t      *testing.T
 	now    time.Time
@@ -97,7 +97,7 @@
 		s.now = s.now.Add(10 * time.Second)
 		return describe(s.owner.Handle(s.now, DeadlinePassed{Key: model.Key(name(0))}))
 	case "silent":
-		return describe(s.owner.Handle(s.now, GuardSilent{Guard: ownership.MemberID(name(0))}))
+		return describe(s.owner.Handle(s.now, GuardUnresponsive{Guard: ownership.MemberID(name(0))}))
 	case "join":
 		s.roster = s.roster.WithJoined(ownership.Member{ID: ownership.MemberID(name(0)), Address: name(0), Role: ownership.RoleEntry}, s.now)
 		return describe(s.owner.Handle(s.now, RosterSeen{Roster: s.roster}))
@@ -120,7 +120,7 @@
 	}
 }
 
-// describe writes effects without what is drawn at random.
+// describe returns the effects as text, without their random parts.
 func describe(effects []Effect) string {
 	var lines []string
 	for _, effect := range effects {
