--- a/internal/runner/acknowledge.go
+++ b/internal/runner/acknowledge.go
@@ -16,8 +16,10 @@
 //
 // Inputs: the ends of durable tasks' runs and of orphans, and the acknowledgements of entries.
 // Rule: renewals let the worker forget ends only up to the first one that no owner has acknowledged. Unacknowledged ends
-// are resent to all entries every timing.EndResendInterval. At maxUnacknowledged the worker gets no new tasks.
+// are resent to all entries every timing.EndResendInterval, also after the worker's incarnation has ended. At
+// maxUnacknowledged the worker gets no new tasks.
 // Reason: the owner may have died before it recorded the end; the next owner would run the task again.
+// Measured: soak seed 1796225628: owner and worker died one after the other, and a done task was done again.
 
 const (
 	// maxUnacknowledged is the largest number of unacknowledged ends. Design: below the number of ends that a worker lists
@@ -56,14 +58,25 @@
 	return update
 }
 
-// acknowledge lets the worker forget the end of a run.
+// acknowledge forgets the end of a run and lets the worker forget it.
 func (r *Runner) acknowledge(name string, run uint32) {
+	isAcknowledged := func(e *unacknowledgedEnd) bool { return e.update.Name == name && e.update.Run == run }
+	r.earlierEnds = slices.DeleteFunc(r.earlierEnds, isAcknowledged)
 	if r.worker == nil {
 		return
 	}
-	maps.DeleteFunc(r.worker.unacknowledged, func(_ uint64, e *unacknowledgedEnd) bool {
-		return e.update.Name == name && e.update.Run == run
-	})
+	maps.DeleteFunc(r.worker.unacknowledged, func(_ uint64, e *unacknowledgedEnd) bool { return isAcknowledged(e) })
+}
+
+// retainEarlierEnds keeps the unacknowledged ends of an incarnation that has ended. Beyond maxUnacknowledged the oldest are
+// dropped, so that a worker that restarts again and again does not fill the memory while no owner answers.
+func (r *Runner) retainEarlierEnds(ended *incarnation) {
+	for _, number := range ended.unacknowledgedNumbers() {
+		r.earlierEnds = append(r.earlierEnds, ended.unacknowledged[number])
+	}
+	if excess := len(r.earlierEnds) - maxUnacknowledged; excess > 0 {
+		r.earlierEnds = r.earlierEnds[excess:]
+	}
 }
 
 // acknowledgedUpTo returns the number up to which the worker may forget ends.
@@ -80,23 +93,43 @@
 	return slices.Sorted(maps.Keys(i.unacknowledged))
 }
 
-// resendUnacknowledged sends the ends that have waited for timing.EndResendInterval to every entry, and drops those that
-// have expired.
+// resendUnacknowledged resends the ends of the current incarnation that are due, and drops those that have expired.
 func (r *Runner) resendUnacknowledged(now time.Time) {
 	for _, number := range r.worker.unacknowledgedNumbers() {
 		e := r.worker.unacknowledged[number]
-		switch {
-		case !e.expires.IsZero() && now.After(e.expires):
+		if e.hasExpired(now) {
 			delete(r.worker.unacknowledged, number)
-		case now.Sub(e.lastSent) >= timing.EndResendInterval:
-			e.lastSent = now
-			r.sendUpdateToAll(e.update)
+			continue
 		}
+		r.resendIfDue(now, e)
+	}
+}
+
+// resendEarlierEnds does the same for the ends of earlier incarnations.
+func (r *Runner) resendEarlierEnds(now time.Time) {
+	r.earlierEnds = slices.DeleteFunc(r.earlierEnds, func(e *unacknowledgedEnd) bool { return e.hasExpired(now) })
+	for _, e := range r.earlierEnds {
+		r.resendIfDue(now, e)
+	}
+}
+
+func (e *unacknowledgedEnd) hasExpired(now time.Time) bool {
+	return !e.expires.IsZero() && now.After(e.expires)
+}
+
+// resendIfDue sends an end to every entry if it was last sent timing.EndResendInterval ago.
+func (r *Runner) resendIfDue(now time.Time, e *unacknowledgedEnd) {
+	if now.Sub(e.lastSent) >= timing.EndResendInterval {
+		e.lastSent = now
+		r.sendUpdateToAll(e.update)
 	}
 }
 
 // sendUnacknowledged sends all unacknowledged ends on a new session: its entry may be their new owner.
 func (r *Runner) sendUnacknowledged(s *session) {
+	for _, e := range r.earlierEnds {
+		r.sendUpdate(s.id, e.update)
+	}
 	if r.worker == nil {
 		return
 	}
--- a/internal/runner/incarnation.go
+++ b/internal/runner/incarnation.go
@@ -143,6 +143,7 @@
 	if r.worker == nil {
 		return
 	}
+	r.retainEarlierEnds(r.worker)
 	r.worker = nil
 	for _, t := range r.active() {
 		r.finish(t, OutcomeLost, reason)
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -47,7 +47,9 @@
 	worker *incarnation
 	// endedIncarnations are the IDs of the latest incarnations that have ended, the oldest first.
 	endedIncarnations []string
-	sessions          map[SessionID]*session
+	// earlierEnds are the unacknowledged ends of ended incarnations, the oldest first.
+	earlierEnds []*unacknowledgedEnd
+	sessions    map[SessionID]*session
 	// tasks are the queued and active tasks by name, without those that wait in supersededBy.
 	tasks map[string]*task
 	// queue are the tasks in stateQueued.
@@ -116,6 +118,7 @@
 func (r *Runner) tick(now time.Time) {
 	r.tickSessions(now)
 	r.expireQueued(now)
+	r.resendEarlierEnds(now)
 	if r.worker == nil {
 		return
 	}
