--- a/internal/native/daemon/agent.go
+++ b/internal/native/daemon/agent.go
@@ -99,9 +99,6 @@
 	}
 }
 
-// PeerAddress returns the address at which other processes reach the agent.
-func (a *Agent) PeerAddress() string { return a.self.Address }
-
 // Removed is closed when the roster lists the agent no longer.
 func (a *Agent) Removed() <-chan struct{} { return a.removed }
 
--- a/internal/native/platformstandin/server.go
+++ b/internal/native/platformstandin/server.go
@@ -60,12 +60,6 @@
 	s.list.SetLag(time.Duration(faults.ListLagMillis) * time.Millisecond)
 }
 
-// Store returns the key-value service.
-func (s *Server) Store() *Store { return s.store }
-
-// List returns the list of VMs.
-func (s *Server) List() *List { return s.list }
-
 func (s *Server) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	if path == PathFaults {
