--- a/internal/native/daemon/agent.go
+++ b/internal/native/daemon/agent.go
@@ -8,7 +8,6 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/go-faster/errors"
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
@@ -23,10 +22,10 @@
 	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/native/placement"
 	"sailhead/internal/settings"
-	"sailhead/internal/timeline"
 )
 
-// taskRetention is how long after its deadline a guard remembers a task.
+// taskRetention is how long after its deadline a guard remembers a task. It must outlast every call that may still name
+// the task: an owner stops asking lateOutcomeTimeout after the deadline. Not measured.
 const taskRetention = 30 * time.Second
 
 // Agent runs beside a backend server: it owns submissions and guards its worker.
@@ -37,7 +36,7 @@
 	stopPeers func(context.Context) error
 }
 
-// NewAgent starts an agent. Its clean-up stops it as planned: nothing in flight is cut off.
+// NewAgent starts an agent. The clean-up performs a planned stop (see shutdown.go).
 func NewAgent(s settings.Settings, logger log.Logger) (agent *Agent, cleanup func() error, err error) {
 	policy, err := placement.NewPolicy(s.Policy, s.PolicySubset)
 	if err != nil {
@@ -61,23 +60,25 @@
 	return a, a.stop, nil
 }
 
+// newRandom returns a generator with a random seed. Each state machine has its own, as they are not safe for concurrent
+// use.
 func newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// start connects the duties and runs them.
+// start connects the duties and starts their goroutines.
 func (a *Agent) start() {
 	a.state.Watch(gossip.Watchers{
 		Roster: func(r ownership.Roster) {
-			a.owner.tell(owner.RosterSeen{Roster: r})
+			a.owner.post(owner.RosterSeen{Roster: r})
 			a.drain(r)
 		},
 		Configuration: func(c configuration.Configuration) {
-			a.owner.tell(owner.ConfigurationSeen{Configuration: c})
+			a.owner.post(owner.ConfigurationSeen{Configuration: c})
 			a.guard.setDraining(byOperator, c.IsDraining(a.settings.Name))
 		},
 		Load: func(id ownership.MemberID, load model.Load) {
-			a.owner.tell(owner.LoadSeen{Guard: id, Load: load})
+			a.owner.post(owner.LoadSeen{Guard: id, Load: load})
 		},
 	})
 	a.exchanger.OwnLoad = func() (model.Load, bool) { return a.guard.load(), true }
@@ -92,52 +93,15 @@
 	a.runCommon()
 }
 
-// drain stops new tasks once the platform's list shows the VM as leaving.
+// drain refuses new tasks while the platform's list shows the VM as leaving.
 func (a *Agent) drain(r ownership.Roster) {
 	if self, ok := r.MemberByID(a.self.ID); ok {
 		a.guard.setDraining(byPlatform, self.Leaving)
 	}
 }
 
-// Removed is closed when the roster lists the agent no longer.
-func (a *Agent) Removed() <-chan struct{} { return a.removed }
-
+// inspect adds the numbers of both duties to the answer to an operator.
 func (a *Agent) inspect(response *peerpb.InspectResponse) {
 	a.guard.inspect(response)
 	a.owner.inspect(response)
 }
-
-// stop takes no new work, finishes what runs, hands the submissions over and leaves the roster.
-func (a *Agent) stop() error {
-	defer a.close()
-	ctx, cancel := context.WithTimeout(context.Background(), a.settings.StopTimeout)
-	defer cancel()
-	a.guard.setDraining(byStop, true)
-	a.owner.tell(owner.LeaveAsked{})
-	err := waitFor(ctx, "running submissions", func() bool { return a.owner.isIdle() })
-	err = errors.Join(err, waitFor(ctx, "running tasks", func() bool { return a.guard.isIdle() }))
-	err = errors.Join(err, a.leave(ctx, a.handOver, a.owner.reopen))
-	err = errors.Join(err, a.stopPeers(ctx))
-	a.timeline.Add(timeline.Event{Kind: timeline.ProcessStopped, Task: timeline.NoTask})
-	_ = level.Info(a.part("agent")).Log("msg", "stopped", "err", err)
-	return err
-}
-
-// handOver gives each heir its part of the submission table.
-func (a *Agent) handOver(ctx context.Context) (ownership.MemberID, uint64, error) {
-	handover := a.owner.handover()
-	roster := a.state.Roster()
-	if roster.Epoch != handover.epoch {
-		return "", 0, errors.New("daemon: the owner has not seen the roster yet")
-	}
-	for id, records := range handover.heirs {
-		heir, ok := roster.MemberByID(id)
-		if !ok {
-			return "", 0, errors.Errorf("daemon: heir %s is unknown", id)
-		}
-		if err := a.client.HandRecords(ctx, heir, a.self.ID, handover.epoch, records); err != nil {
-			return "", 0, err
-		}
-	}
-	return "", handover.epoch, nil
-}
--- a/internal/native/daemon/guard_duty.go
+++ b/internal/native/daemon/guard_duty.go
@@ -12,16 +12,15 @@
 	"sailhead/internal/metric"
 	"sailhead/internal/native/guard"
 	"sailhead/internal/native/model"
-	"sailhead/internal/native/ownership"
 	"sailhead/internal/native/peer"
 	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/timeline"
 )
 
-// guardTick is the time between two looks at the queue.
-const guardTick = 20 * time.Millisecond
+// guardTickInterval is the time between two ticks of the guard, which refuses waiting tasks by time. Not measured.
+const guardTickInterval = 20 * time.Millisecond
 
-// drainReason says who drains a worker; any one of them is enough.
+// drainReason is who drains a worker. The worker drains while any reason is set.
 type drainReason int
 
 const (
@@ -52,7 +51,7 @@
 	event  guard.Event
 	task   model.TaskID
 	waiter chan model.Outcome
-	look   func(*guard.Guard)
+	run    func(*guard.Guard)
 }
 
 func newGuardDuty(n *node, runAt func(context.Context, guard.Task) model.Outcome, limits guard.Limits) *guardDuty {
@@ -61,23 +60,24 @@
 		node: n, runAt: runAt, machine: machine, idle: true,
 		ring:    make(chan guardRequest, n.settings.Ring),
 		waiters: make(map[model.TaskID][]chan model.Outcome),
-		latest:  machine.Load(clock()),
+		latest:  machine.Load(time.Now()),
 	}
 }
 
 func (d *guardDuty) run(ctx context.Context) {
-	serve(ctx, d.ring, guardTick, func() { d.handle(guardRequest{event: guard.Ticked{}}) }, d.handle)
+	serve(ctx, d.ring, guardTickInterval, func() { d.handle(guardRequest{event: guard.Ticked{}}) }, d.handle)
 }
 
+// handle applies one request to the state machine and performs the effects.
 func (d *guardDuty) handle(request guardRequest) {
-	if request.look != nil {
-		request.look(d.machine)
+	if request.run != nil {
+		request.run(d.machine)
 		return
 	}
 	if request.waiter != nil {
 		d.waiters[request.task] = append(d.waiters[request.task], request.waiter)
 	}
-	effects := d.machine.Handle(clock(), request.event)
+	effects := d.machine.Handle(time.Now(), request.event)
 	d.publish()
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -89,9 +89,9 @@
 	}
 }
 
-// publish makes the load readable from other goroutines.
+// publish lets other goroutines read the load.
 func (d *guardDuty) publish() {
-	load := d.machine.Load(clock())
+	load := d.machine.Load(time.Now())
 	load.Worker = d.node.self.Name
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,6 +99,7 @@
 	d.idle = d.machine.IsIdle()
 }
 
+// answer wakes all that wait for the outcome of a task.
 func (d *guardDuty) answer(answer guard.Answer) {
 	for _, waiter := range d.waiters[answer.ID] {
 		waiter <- answer.Outcome
@@ -109,15 +110,17 @@
 	}
 }
 
+// runTask runs a task at the backend server and posts its end.
 func (d *guardDuty) runTask(task guard.Task) {
 	d.node.metrics.Add(metric.TasksStarted, 1)
 	d.record(timeline.TaskStarted, task, "")
 	outcome := d.runAt(d.node.context, task)
 	d.node.metrics.Add(metric.TasksEnded, 1)
-	d.record(timeline.TaskEnded, task, describe(outcome))
+	d.record(timeline.TaskEnded, task, describeOutcome(outcome))
 	d.post(guardRequest{event: guard.Ended{ID: task.ID, Outcome: outcome}})
 }
 
+// record adds an event of a task at this worker to the time line.
 func (d *guardDuty) record(kind timeline.Kind, task guard.Task, detail string) {
 	d.node.timeline.Add(timeline.Event{
 		Kind: kind, Trace: task.Trace, Submission: string(task.ID.Key), Task: int(task.ID.Index),
@@ -125,26 +128,13 @@
 	})
 }
 
-// describe puts an outcome in a few words.
-func describe(outcome model.Outcome) string {
-	switch o := outcome.(type) {
-	case model.TaskDone:
-		return fmt.Sprintf("done in %s", o.ServiceTime.Round(time.Millisecond))
-	case model.TaskNotStarted:
-		return "not started: " + o.Reason
-	case model.TaskFailed:
-		return string(o.Cause) + ": " + o.Reason
-	default:
-		return ""
-	}
-}
-
+// post hands a request to the duty and waits while its ring is full.
 func (d *guardDuty) post(request guardRequest) {
 	post(d.node.context, d.ring, request)
 }
 
-// ask posts an event and waits for the outcome of its task.
-func (d *guardDuty) ask(ctx context.Context, id model.TaskID, event guard.Event) (model.Outcome, error) {
+// postAndWait hands an event to the duty and waits for the outcome of its task.
+func (d *guardDuty) postAndWait(ctx context.Context, id model.TaskID, event guard.Event) (model.Outcome, error) {
 	waiter := make(chan model.Outcome, 1)
 	d.post(guardRequest{event: event, task: id, waiter: waiter})
 	select {
@@ -187,10 +177,11 @@
 	d.post(guardRequest{event: guard.Drained{Leaving: leaving}})
 }
 
+// inspect adds the load and the tasks to the answer to an operator.
 func (d *guardDuty) inspect(response *peerpb.InspectResponse) {
 	response.Load = peer.LoadToWire(d.load())
 	done := make(chan []guard.Active, 1)
-	d.post(guardRequest{look: func(g *guard.Guard) { done <- g.ActiveTasks() }})
+	d.post(guardRequest{run: func(g *guard.Guard) { done <- g.ActiveTasks() }})
 	select {
 	case active := <-done:
 		for _, each := range active {
@@ -205,38 +196,5 @@
 
 // start queues a task for an owner in this or another process.
 func (d *guardDuty) start(ctx context.Context, task guard.Task) (model.Outcome, error) {
-	return d.ask(ctx, task.ID, guard.StartAsked{Task: task})
-}
-
-// guardService serves the owners in other processes.
-type guardService struct{ duty *guardDuty }
-
-// Start queues a task and waits for its outcome.
-func (s *guardService) Start(ctx context.Context, request *peerpb.StartRequest) (*peerpb.TaskResponse, error) {
-	if ownership.MemberID(request.GetGuard()) != s.duty.node.self.ID {
-		outcome := model.TaskNotStarted{Reason: "the request names another incarnation"}
-		return peer.OutcomeToWire(outcome, s.duty.load()), nil
-	}
-	outcome, err := s.duty.start(ctx, peer.TaskFromWire(request))
-	return s.respond(outcome, err)
-}
-
-// Report fences a task that never arrived, and waits for the outcome of one that did.
-func (s *guardService) Report(ctx context.Context, request *peerpb.ReportRequest) (*peerpb.TaskResponse, error) {
-	if ownership.MemberID(request.GetGuard()) != s.duty.node.self.ID {
-		outcome := model.TaskFailed{Cause: model.CauseUnknown, Reason: "the guard has restarted"}
-		return peer.OutcomeToWire(outcome, s.duty.load()), nil
-	}
-	id := model.TaskID{Key: model.Key(request.GetKey()), Index: request.GetTask()}
-	outcome, err := s.duty.ask(ctx, id, guard.ReportAsked{
-		ID: id, Deadline: time.Unix(0, request.GetDeadlineUnixNs()), Withdraw: request.GetWithdraw(),
-	})
-	return s.respond(outcome, err)
-}
-
-func (s *guardService) respond(outcome model.Outcome, err error) (*peerpb.TaskResponse, error) {
-	if err != nil {
-		return nil, err
-	}
-	return peer.OutcomeToWire(outcome, s.duty.load()), nil
+	return d.postAndWait(ctx, task.ID, guard.StartAsked{Task: task})
 }
--- a/internal/native/daemon/inspect.go
+++ b/internal/native/daemon/inspect.go
@@ -11,10 +11,10 @@
 	"sailhead/internal/timeline"
 )
 
-// inspector tells operators about a process.
+// inspector answers the queries of operators about a process.
 type inspector struct {
 	node *node
-	// fill adds what the role knows.
+	// fill adds the fields that only the role knows.
 	fill func(*peerpb.InspectResponse)
 }
 
--- a/internal/native/daemon/links_test.go
+++ b/internal/native/daemon/links_test.go
@@ -67,8 +67,8 @@
 	for _, member := range roster.Listed(ownership.RoleAgent) {
 		a := m.newAgent(ctx, cancel, member)
 		a.owner.node.state.SeeRoster(roster)
-		a.owner.tell(owner.RosterSeen{Roster: roster})
-		a.owner.tell(owner.ConfigurationSeen{Configuration: config})
+		a.owner.post(owner.RosterSeen{Roster: roster})
+		a.owner.post(owner.ConfigurationSeen{Configuration: config})
 	}
 	time.Sleep(time.Minute * 3)
 	return m
@@ -148,7 +148,9 @@
 
 // Report carries a report.
 func (m *mesh) Report(ctx context.Context, to ownership.Member, asked guard.ReportAsked, _ ownership.MemberID) (model.Outcome, model.Load, error) {
-	return m.carry(ctx, to, func(ctx context.Context, g *guardDuty) (model.Outcome, error) { return g.ask(ctx, asked.ID, asked) })
+	return m.carry(ctx, to, func(ctx context.Context, g *guardDuty) (model.Outcome, error) {
+		return g.postAndWait(ctx, asked.ID, asked)
+	})
 }
 
 // submit offers a job to its first choice.
--- a/internal/native/daemon/owner_duty.go
+++ b/internal/native/daemon/owner_duty.go
@@ -26,15 +26,17 @@
 	peers   guardPeer
 	machine *owner.Owner
 	ring    chan ownerRequest
-	next    atomic.Uint64
+	// next is the number of the last waiter.
+	next atomic.Uint64
 
 	mu      sync.Mutex
 	waiters map[owner.Waiter]chan owner.Response
+	// running and known are the numbers of submissions without an answer and of all that the table has.
 	running int
 	known   int
 }
 
-// guardPeer reaches the guards of other processes.
+// guardPeer calls the guards of other processes.
 type guardPeer interface {
 	Start(ctx context.Context, to ownership.Member, task guard.Task) (model.Outcome, model.Load, error)
 	Report(ctx context.Context, to ownership.Member, asked guard.ReportAsked, asker ownership.MemberID) (model.Outcome, model.Load, error)
@@ -43,7 +45,7 @@
 // ownerRequest is an event, or a function to run between events.
 type ownerRequest struct {
 	event owner.Event
-	look  func(*owner.Owner)
+	run   func(*owner.Owner)
 }
 
 func newOwnerDuty(n *node, machine *owner.Owner, g *guardDuty) *ownerDuty {
@@ -60,18 +62,18 @@
 }
 
 func (d *ownerDuty) handle(ctx context.Context, request ownerRequest) {
-	if request.look != nil {
-		request.look(d.machine)
+	if request.run != nil {
+		request.run(d.machine)
 		return
 	}
-	effects := d.machine.Handle(clock(), request.event)
+	effects := d.machine.Handle(time.Now(), request.event)
 	d.publish()
 	for _, effect := range effects {
 		d.perform(ctx, effect)
 	}
 }
 
-// publish makes the numbers of submissions readable from other goroutines.
+// publish lets other goroutines read the numbers of submissions.
 func (d *ownerDuty) publish() {
 	table := d.machine.Table()
 	d.mu.Lock()
@@ -80,7 +82,7 @@
 	d.known = table.Len()
 }
 
-// perform carries out an effect without holding up the duty.
+// perform carries out an effect. What waits for a peer gets a goroutine of its own, so that the duty goes on.
 func (d *ownerDuty) perform(ctx context.Context, effect owner.Effect) {
 	switch e := effect.(type) {
 	case owner.Respond:
@@ -92,7 +94,7 @@
 	case owner.WithdrawTask:
 		go d.withdrawTask(ctx, e)
 	case owner.WatchDeadline:
-		time.AfterFunc(time.Until(e.At), func() { d.tell(owner.DeadlinePassed{Key: e.Key}) })
+		time.AfterFunc(time.Until(e.At), func() { d.post(owner.DeadlinePassed{Key: e.Key}) })
 	}
 }
 
@@ -107,15 +109,15 @@
 	}
 }
 
-// tell posts an event.
-func (d *ownerDuty) tell(event owner.Event) {
+// post hands an event to the duty and waits while its ring is full.
+func (d *ownerDuty) post(event owner.Event) {
 	post(d.node.context, d.ring, ownerRequest{event: event})
 }
 
-// look runs a function between two events and waits for its end.
-func (d *ownerDuty) look(function func(*owner.Owner)) {
+// runInLoop runs a function on the duty's goroutine, between two events, and waits for its end.
+func (d *ownerDuty) runInLoop(function func(*owner.Owner)) {
 	done := make(chan struct{})
-	request := ownerRequest{look: func(o *owner.Owner) {
+	request := ownerRequest{run: func(o *owner.Owner) {
 		function(o)
 		close(done)
 	}}
@@ -126,14 +128,14 @@
 	}
 }
 
-// offer posts an entry's offer and waits for the response.
+// offer hands an entry's offer to the duty and waits for the response.
 func (d *ownerDuty) offer(ctx context.Context, offer ownership.Offer) (owner.Response, error) {
 	id := owner.Waiter(d.next.Add(1))
 	waiter := make(chan owner.Response, 1)
 	d.mu.Lock()
 	d.waiters[id] = waiter
 	d.mu.Unlock()
-	d.tell(owner.Offered{Offer: offer, Waiter: id})
+	d.post(owner.Offered{Offer: offer, Waiter: id})
 	select {
 	case response := <-waiter:
 		return response, nil
@@ -152,7 +154,7 @@
 		return false
 	}
 	idle := false
-	d.look(func(o *owner.Owner) { idle = o.Table().Running() == 0 })
+	d.runInLoop(func(o *owner.Owner) { idle = o.Table().Running() == 0 })
 	return idle
 }
 
@@ -163,29 +165,12 @@
 	response.RunningSubmissions = uint32(d.running)
 }
 
-// handover is a leaving owner's table, split by heir.
-type handover struct {
-	heirs map[ownership.MemberID][]ownership.Record
-	epoch uint64
-}
-
-func (d *ownerDuty) handover() handover {
-	var h handover
-	d.look(func(o *owner.Owner) { h.heirs, h.epoch = o.Table().Handover() })
-	return h
-}
-
-// reopen lets the owner inherit from others after a hand-over that failed.
-func (d *ownerDuty) reopen() {
-	d.look(func(o *owner.Owner) { o.Table().Reopen() })
-}
-
-// askFence asks an entry for its promise and tells the owner what came of it.
+// askFence asks an entry for its promise and posts its verdict. Without an answer the verdict is CannotTell.
 func (d *ownerDuty) askFence(ctx context.Context, e owner.AskFence) {
 	ctx, cancel := context.WithDeadline(ctx, e.Until)
 	defer cancel()
 	d.node.metrics.Add(metric.FencesAsked, 1)
-	d.node.metrics.Add(metric.MessagesWasted, 2)
+	d.node.metrics.Add(metric.MessagesWasted, messagesPerCall)
 	d.node.timeline.Add(timeline.Event{Kind: timeline.FenceAsked, Submission: string(e.Key), Task: timeline.NoTask, Detail: e.Entry.Name})
 	verdict, epoch, err := d.node.client.Fence(ctx, e.Entry, e.Key, d.node.self.ID, e.Epoch)
 	if err == nil {
@@ -194,12 +179,5 @@
 	if _, promised := verdict.(ownership.Promised); !promised {
 		d.node.metrics.Add(metric.FencesRefused, 1)
 	}
-	d.tell(owner.FenceAnswered{Key: e.Key, Entry: e.Entry.ID, Verdict: verdict, Epoch: epoch})
-}
-
-// ownerService serves the entries.
-type ownerService struct{ duty *ownerDuty }
-
-func (d *ownerDuty) record(kind timeline.Kind, job model.Job, detail string) {
-	d.node.timeline.Add(timeline.Event{Kind: kind, Trace: job.Trace, Submission: string(job.Key), Task: timeline.NoTask, Detail: detail})
+	d.post(owner.FenceAnswered{Key: e.Key, Entry: e.Entry.ID, Verdict: verdict, Epoch: epoch})
 }
--- a/internal/native/daemon/owner_service.go
+++ b/internal/native/daemon/owner_service.go
@@ -16,6 +16,9 @@
 	"sailhead/internal/timeline"
 )
 
+// ownerService serves the entries and the owners that leave.
+type ownerService struct{ duty *ownerDuty }
+
 // stateUnknown is the state of a submission that the owner does not know.
 const stateUnknown = "unknown"
 
@@ -29,33 +32,19 @@
 		Owner:     ownership.MemberID(request.GetOwner()),
 		Epoch:     request.GetEpoch(),
 	}
-	d.record(timeline.JobOffered, offer.Job, request.GetForwarder())
+	d.node.record(timeline.JobOffered, offer.Job, request.GetForwarder())
 	response, err := d.offer(ctx, offer)
 	if err != nil {
 		return nil, err
 	}
-	d.record(timeline.JobResponded, offer.Job, describeResponse(response))
+	d.node.record(timeline.JobResponded, offer.Job, describeResponse(response))
 	return peer.ResponseToWire(response), nil
 }
 
-// describeResponse puts a response in a few words.
-func describeResponse(response owner.Response) string {
-	switch r := response.(type) {
-	case owner.Answered:
-		return model.Status(r.Answer)
-	case owner.Declined:
-		return "declined: " + r.Reason
-	case owner.Refused:
-		return "refused: " + r.Reason
-	default:
-		return ""
-	}
-}
-
-// State tells what the owner knows of a submission.
+// State returns the answer to a submission, or whether the owner knows it.
 func (s *ownerService) State(_ context.Context, request *peerpb.StateRequest) (*peerpb.StateResponse, error) {
 	response := &peerpb.StateResponse{State: stateUnknown}
-	s.duty.look(func(o *owner.Owner) {
+	s.duty.runInLoop(func(o *owner.Owner) {
 		answer, underWay := o.Table().Lookup(model.Key(request.GetKey()))
 		response.Answer = peer.AnswerToWire(answer)
 		if underWay {
@@ -68,7 +57,7 @@
 // TakeRecords accepts the submission table of a leaving owner.
 func (s *ownerService) TakeRecords(ctx context.Context, request *peerpb.TakeRecordsRequest) (*peerpb.Empty, error) {
 	taken := make(chan bool, 1)
-	s.duty.tell(owner.Inherited{
+	s.duty.post(owner.Inherited{
 		Records: peer.RecordsFromWire(request.GetRecords()),
 		Done:    func(ok bool) { taken <- ok },
 	})
--- a/internal/native/daemon/watch.go
+++ b/internal/native/daemon/probe.go
@@ -11,34 +11,34 @@
 	"sailhead/internal/native/ownership"
 )
 
-// watch probes a process that owes an answer and is silent, until the returned function is called.
-// After a failed probe it calls onSilent.
-func (n *node) watch(ctx context.Context, member ownership.Member, onSilent func()) (stop func()) {
+// probeWhileSilent probes a process that has not been heard for membership.Silence, until the returned function is
+// called. It is for the time in which the process owes an answer. After a failed probe it calls onFailure.
+func (n *node) probeWhileSilent(ctx context.Context, member ownership.Member, onFailure func()) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if ctx.Err() != nil {
 			return
 		}
 		if n.liveness.BeginProbe(member.ID) {
-			n.probe(ctx, member, onSilent)
+			n.probe(ctx, member, onFailure)
 		}
-		time.AfterFunc(membership.Silence, look)
+		time.AfterFunc(membership.Silence, check)
 	}
-	timer := time.AfterFunc(membership.Silence, look)
+	timer := time.AfterFunc(membership.Silence, check)
 	return func() {
 		timer.Stop()
 		cancel()
 	}
 }
 
-// probe exchanges gossip with a silent process.
-func (n *node) probe(ctx context.Context, member ownership.Member, onSilent func()) {
+// probe exchanges gossip with a process to check that it answers.
+func (n *node) probe(ctx context.Context, member ownership.Member, onFailure func()) {
 	probeCtx, cancel := context.WithTimeout(n.context, membership.Silence)
 	defer cancel()
 	err := n.ping(probeCtx, member.Address)
 	n.liveness.EndProbe(member.ID, err == nil)
 	if err != nil && ctx.Err() == nil {
-		onSilent()
+		onFailure()
 	}
 }
--- a/internal/native/daemon/ring.go
+++ b/internal/native/daemon/ring.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// serve is the loop of a duty: it handles requests from a bounded ring, and ticks, until the context ends.
-// A duty without requests has a nil ring.
+// serve is the event loop of a duty: it handles requests from a bounded ring, and ticks, until the context ends. The ring
+// is nil for a duty without requests.
 func serve[T any](ctx context.Context, ring <-chan T, interval time.Duration, tick func(), handle func(T)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -25,7 +25,7 @@
 	}
 }
 
-// sleep pauses, and returns the context's error if that ends first.
+// sleep waits for the pause, or returns the context's error if the context ends first.
 func sleep(ctx context.Context, pause time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -35,7 +35,7 @@
 	}
 }
 
-// post puts a request in a ring; it waits while the ring is full, until the context ends.
+// post puts a request in a ring. It waits while the ring is full, and drops the request if the context ends.
 func post[T any](ctx context.Context, ring chan<- T, request T) {
 	select {
 	case ring <- request:
--- a/internal/native/daemon/submit.go
+++ b/internal/native/daemon/submit.go
@@ -7,41 +7,32 @@
 	"context"
 	"time"
 
-	"github.com/go-faster/errors"
-	"github.com/twitchtv/twirp"
-
 	"sailhead/internal/metric"
 	"sailhead/internal/native/configuration"
 	"sailhead/internal/native/model"
-	"sailhead/internal/native/owner"
 	"sailhead/internal/native/ownership"
-	"sailhead/internal/native/peer"
-	"sailhead/internal/native/peer/peerpb"
 	"sailhead/internal/timeline"
 )
 
 const (
-	// answerGrace is how long after the deadline an entry waits for the owner's last word.
-	answerGrace = 300 * time.Millisecond
-	// retryPause lies between two forwards of one submission.
-	retryPause = 20 * time.Millisecond
-	// maxForwards bounds the forwards of one submission by one request.
-	maxForwards = 12
+	// stateTimeout is the longest time that a query of a submission's state takes, over all agents that are asked. Not
+	// measured.
+	stateTimeout = time.Second
+	// maxOtherCandidates is how many agents are asked besides the one to which the key is bound: the first choice and the
+	// next one, to which a leaving first choice hands its records. Not measured.
+	maxOtherCandidates = 2
 )
 
-// errStopping refuses a relay that arrives while the entry stops.
-var errStopping = twirp.NewError(twirp.Unavailable, "the entry is stopping")
-
 // Submit forwards a caller's job to its owner and returns the final answer.
 func (e *Entry) Submit(job model.Job) model.Answer {
 	e.open.Add(1)
 	defer e.open.Add(-1)
 	e.metrics.Add(metric.JobsReceived, 1)
 	if job.Deadline.IsZero() {
-		job.Deadline = clock().Add(e.defaultDeadline(job))
+		job.Deadline = time.Now().Add(e.defaultDeadline(job))
 	}
 	e.record(timeline.JobReceived, job, "")
-	received := clock()
+	received := time.Now()
 	answer := e.answer(job, true)
 	if rejected, ok := answer.(model.Rejected); ok && rejected.Field == ownership.FieldDeadline && job.Deadline.After(received) {
 		// The deadline lay ahead when the caller sent the job, so the request was not wrong.
@@ -63,7 +54,7 @@
 // answer checks the key's age and forwards the job until there is an answer.
 func (e *Entry) answer(job model.Job, mayRelay bool) model.Answer {
 	limits := e.limits(0)
-	switch limits.AgeOf(job.Key, clock()) {
+	switch limits.AgeOf(job.Key, time.Now()) {
 	case ownership.AgeExpired:
 		return model.Failed{Reason: "the submission key is older than the window", MayHaveRun: true}
 	case ownership.AgeFuture:
@@ -72,140 +63,21 @@
 	}
 	ctx, cancel := context.WithDeadline(e.context, waitUntil(job))
 	defer cancel()
-	attempt := &attempt{entry: e, job: job, mayRelay: mayRelay}
-	return attempt.run(ctx)
-}
-
-// waitUntil is when an entry stops waiting; a job that is late already may still have an answer to fetch.
-func waitUntil(job model.Job) time.Time {
-	until := job.Deadline
-	if now := clock(); until.Before(now) {
-		until = now
-	}
-	return until.Add(answerGrace)
-}
-
-// attempt is one request's way to an answer.
-type attempt struct {
-	entry    *Entry
-	job      model.Job
-	mayRelay bool
-	avoid    []ownership.MemberID
-	answer   model.Answer
-	reason   string
-}
-
-func (a *attempt) run(ctx context.Context) model.Answer {
-	for range maxForwards {
-		a.step(ctx)
-		if a.answer != nil {
-			return a.answer
-		}
-		if sleep(ctx, retryPause) != nil {
-			return model.Failed{Reason: "the deadline passed without an answer of the owner", MayHaveRun: true, TimedOut: true}
-		}
-	}
-	return model.Failed{Reason: a.reason, MayHaveRun: true}
+	forwarding := &forwarding{entry: e, job: job, mayRelay: mayRelay}
+	return forwarding.run(ctx)
 }
 
-// step routes the job once; without an answer it is to be routed again.
-func (a *attempt) step(ctx context.Context) {
-	e := a.entry
-	e.mu.Lock()
-	route := e.forwarder.Route(clock(), a.job.Key, a.avoid, e.liveness.Suspects())
-	epoch := e.forwarder.Roster().Epoch
-	e.mu.Unlock()
-	switch r := route.(type) {
-	case ownership.ForwardTo:
-		a.forward(ctx, r.Owner, epoch)
-	case ownership.RelayThrough:
-		a.relay(ctx, r.Entry)
-	case ownership.NoRoute:
-		a.answer = model.Failed{Reason: r.Reason, MayHaveRun: true}
-	}
-}
-
-// forward hands the job to an owner and takes in what became of it.
-func (a *attempt) forward(ctx context.Context, to ownership.Member, epoch uint64) {
-	e := a.entry
-	e.record(timeline.JobForwarded, a.job, to.Name)
-	e.metrics.Add(metric.MessagesNeeded, 2)
-	stopWatching := e.watch(ctx, to, func() {
-		e.record(timeline.OwnerSilent, a.job, to.Name)
-	})
-	under := peer.Versions{Epoch: epoch, Configuration: e.state.Configuration().Version}
-	response, err := e.client.Submit(ctx, e.self, to, under, a.job)
-	stopWatching()
-	if err != nil {
-		a.forwardFailed(to, err)
-		return
-	}
-	e.liveness.Heard(to.ID)
-	switch r := response.(type) {
-	case owner.Answered:
-		e.settle(a.job.Key, to.ID, ownership.Taken{})
-		a.answer = r.Answer
-	case owner.Declined:
-		e.settle(a.job.Key, to.ID, ownership.DeclinedFor{BoundTo: r.BoundTo})
-		a.reason = r.Reason
-		if r.BoundTo == "" {
-			a.avoid = append(a.avoid, to.ID)
-		}
-	case owner.Refused:
-		e.settle(a.job.Key, to.ID, ownership.Refused{})
-		a.reason = r.Reason
-		e.metrics.Add(metric.MessagesWasted, 2)
-		_ = e.exchanger.ExchangeWith(ctx, to.Address)
-	}
-}
-
-func (a *attempt) forwardFailed(to ownership.Member, err error) {
-	a.reason = err.Error()
-	if peer.IsNotSent(err) {
-		a.entry.settle(a.job.Key, to.ID, ownership.NotSent{})
-		a.avoid = append(a.avoid, to.ID)
-		return
-	}
-	a.entry.metrics.Add(metric.ForwardsLost, 1)
-	a.entry.settle(a.job.Key, to.ID, ownership.Lost{})
-}
-
-// settle records the fate of a forward.
-func (e *Entry) settle(key model.Key, to ownership.MemberID, fate ownership.Forward) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.forwarder.Record(key, to, fate)
-}
-
-// relay sends the job through an entry that may forward it.
-func (a *attempt) relay(ctx context.Context, through ownership.Member) {
-	e := a.entry
-	if !a.mayRelay {
-		a.answer = model.Failed{Reason: "no entry may forward the submission", MayHaveRun: true}
-		return
-	}
-	e.record(timeline.JobRelayed, a.job, through.Name)
-	e.metrics.Add(metric.Relays, 1)
-	e.metrics.Add(metric.MessagesWasted, 2)
-	answer, err := e.client.Relay(ctx, e.self.ID, through, a.job)
-	if err != nil {
-		a.reason = err.Error()
-		a.avoid = append(a.avoid, through.ID)
-		return
-	}
-	a.answer = answer
-}
-
-// State returns the final answer to a submission, or whether it is under way.
+// State returns the final answer to a submission, or whether it is under way. Agents that do not answer are passed over:
+// an unknown state is the answer if none knows the submission.
 func (e *Entry) State(key model.Key) (model.Answer, bool) {
-	ctx, cancel := context.WithTimeout(e.context, time.Second)
+	ctx, cancel := context.WithTimeout(e.context, stateTimeout)
 	defer cancel()
 	e.mu.Lock()
 	candidates := e.forwarder.Roster().Choices(key)
 	bound, ok := e.forwarder.OwnerOf(key)
 	e.mu.Unlock()
 	if ok {
-		candidates = append([]ownership.Member{bound}, candidates[:min(2, len(candidates))]...)
+		candidates = append([]ownership.Member{bound}, candidates[:min(maxOtherCandidates, len(candidates))]...)
 	}
 	for _, candidate := range candidates {
 		answer, underWay, err := e.client.State(ctx, candidate, key)
@@ -216,14 +88,14 @@
 	return nil, false
 }
 
-// IsRepeatable reports whether a call of the kind may be submitted anew after an unknown outcome.
+// IsRepeatable reports whether callers may submit a job of the kind again after an unknown outcome.
 func (e *Entry) IsRepeatable(service, kind string) bool {
 	s, _ := e.state.Configuration().ServiceByName(service)
 	k, _ := s.KindByName(kind)
 	return k.Repeatable
 }
 
-// IsReady tells why the entry cannot take jobs, if it cannot.
+// IsReady reports whether the entry accepts jobs, and the reason if it does not.
 func (e *Entry) IsReady() (string, bool) {
 	roster := e.state.Roster()
 	switch {
@@ -237,52 +109,3 @@
 		return "", true
 	}
 }
-
-func (e *Entry) record(kind timeline.Kind, job model.Job, detail string) {
-	e.timeline.Add(timeline.Event{Kind: kind, Trace: job.Trace, Submission: string(job.Key), Task: timeline.NoTask, Detail: detail})
-}
-
-// forwarderService serves other processes.
-type forwarderService struct{ entry *Entry }
-
-// Relay forwards a submission for an entry that may not do so itself.
-func (s *forwarderService) Relay(_ context.Context, request *peerpb.RelayRequest) (*peerpb.RelayResponse, error) {
-	s.entry.open.Add(1)
-	defer s.entry.open.Add(-1)
-	if s.entry.stopping.Load() {
-		return nil, errStopping
-	}
-	answer := s.entry.answer(peer.JobFromWire(request.GetJob()), false)
-	return &peerpb.RelayResponse{Answer: peer.AnswerToWire(answer)}, nil
-}
-
-// Fence answers an owner that wants a key to be sent to no one else.
-func (s *forwarderService) Fence(_ context.Context, request *peerpb.FenceRequest) (*peerpb.FenceResponse, error) {
-	e := s.entry
-	key := model.Key(request.GetKey())
-	e.mu.Lock()
-	verdict := e.forwarder.Fence(clock(), key, ownership.MemberID(request.GetOwner()))
-	epoch := e.forwarder.Roster().Epoch
-	e.mu.Unlock()
-	response := &peerpb.FenceResponse{Epoch: epoch}
-	switch v := verdict.(type) {
-	case ownership.Promised:
-		response.Promised = true
-	case ownership.BoundElsewhere:
-		response.BoundTo = string(v.Owner)
-	case ownership.CannotTell:
-	}
-	e.timeline.Add(timeline.Event{Kind: timeline.FenceGiven, Submission: string(key), Task: timeline.NoTask, Detail: request.GetOwner()})
-	return response, nil
-}
-
-// TakeBindings accepts the bindings of a leaving entry.
-func (s *forwarderService) TakeBindings(_ context.Context, request *peerpb.TakeBindingsRequest) (*peerpb.Empty, error) {
-	e := s.entry
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if !e.forwarder.Inherit(peer.BindingsFromWire(request.GetBindings())) {
-		return nil, errors.New("daemon: no room for the bindings")
-	}
-	return &peerpb.Empty{}, nil
-}
