--- a/internal/native/backendstandin/server.go
+++ b/internal/native/backendstandin/server.go
@@ -1,9 +1,9 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package backendstandin takes a backend server's place in tests, demos and trials.
-//
-// It keeps a record of every start, by which tests find a task that started twice.
+// Package backendstandin is a backend server without real work, for tests, the demo and trials. It serves the protocol
+// of package backend, fails on request, and counts the starts of every task in memory, by which tests find a task that
+// started twice. It calls no one; when it stops, open connections break and its counts are gone.
 package backendstandin
 
 import (
@@ -20,22 +20,24 @@
 	"sailhead/internal/native/backend"
 )
 
-// The paths by which tests look at the stand-in and change it.
+// The paths by which tests read the counts of the stand-in and set its behaviour.
 const (
 	PathStarts    = "/v1/starts"
 	PathBehaviour = "/v1/behaviour"
 )
 
-// Mode is what the stand-in does with a task.
+// Mode is how the stand-in answers a task.
 type Mode string
 
 // The modes.
 const (
-	ModeServe    Mode = "serve"
+	// ModeServe answers with a result after the service time.
+	ModeServe Mode = "serve"
+	// ModeThrottle, ModeStop and ModeFail answer at once with the status that stands for this failure.
 	ModeThrottle Mode = "throttle"
 	ModeStop     Mode = "stop"
 	ModeFail     Mode = "fail"
-	// ModeHangUp starts the task and closes the connection without an answer.
+	// ModeHangUp closes the connection without an answer. The task counts as started.
 	ModeHangUp Mode = "hang_up"
 )
 
@@ -50,13 +52,16 @@
 	StragglerFactor    int `json:"straggler_factor"`
 }
 
-// Start names a task that started.
+// maxPayload is the largest payload of a task, in bytes.
+const maxPayload = 64 << 20
+
+// Start identifies a task that has started.
 type Start struct {
 	Submission string `json:"submission"`
 	Task       string `json:"task"`
 }
 
-// Count is how often a task started.
+// Count is the number of starts of a task.
 type Count struct {
 	Start
 	Times int `json:"times"`
@@ -69,12 +74,12 @@
 	starts    map[Start]int
 }
 
-// payload is what the stand-in reads from a task, if it is there.
+// payload is the part of a task's payload that the stand-in reads. It is optional.
 type payload struct {
 	ServiceMillis int `json:"service_ms"`
 }
 
-// result is the answer to a task.
+// result is the body of the answer to a task.
 type result struct {
 	Task string          `json:"task"`
 	Echo json.RawMessage `json:"echo,omitempty"`
@@ -87,13 +92,14 @@
 		return nil, "", nil, errors.Wrapf(err, "backendstandin: unable to listen at %s", address)
 	}
 	s := &Server{behaviour: behaviour, starts: make(map[Start]int)}
-	http := &fasthttp.Server{Handler: s.serve, Name: "backend-standin", MaxRequestBodySize: 64 << 20}
+	http := &fasthttp.Server{Handler: s.serve, Name: "backend-standin", MaxRequestBodySize: maxPayload}
+	// Serve returns when the clean-up closes the listener; its error says no more than that.
 	go func() { _ = http.Serve(listener) }()
 	return s, listener.Addr().String(), func() { _ = listener.Close() }, nil
 }
 
-// SetBehaviour changes how tasks are served from now on.
-func (s *Server) SetBehaviour(behaviour Behaviour) {
+// setBehaviour changes how tasks are served that start from now on.
+func (s *Server) setBehaviour(behaviour Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behaviour = behaviour
@@ -114,8 +120,7 @@
 	path := string(ctx.Path())
 	switch {
 	case path == PathStarts:
-		body, _ := json.Marshal(s.Starts())
-		ctx.SetBody(body)
+		writeJSON(ctx, s.Starts())
 	case path == PathBehaviour:
 		s.serveBehaviour(ctx)
 	case strings.HasPrefix(path, backend.PathTasks) && ctx.IsPost():
@@ -131,7 +136,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	s.SetBehaviour(behaviour)
+	s.setBehaviour(behaviour)
 }
 
 func (s *Server) serveTask(ctx *fasthttp.RequestCtx) {
@@ -157,10 +162,20 @@
 	if json.Valid(ctx.PostBody()) {
 		answer.Echo = ctx.PostBody()
 	}
-	body, _ := json.Marshal(answer)
-	ctx.SetBody(body)
+	writeJSON(ctx, answer)
+}
+
+// writeJSON writes the body of an answer.
+func writeJSON(ctx *fasthttp.RequestCtx, body any) {
+	data, err := json.Marshal(body)
+	if err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
+		return
+	}
+	ctx.SetBody(data)
 }
 
+// begin counts the start of a task and returns how it is to be served.
 func (s *Server) begin(start Start) Behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,9 +183,10 @@
 	return s.behaviour
 }
 
-// serviceTime is the time that the payload names, or a random one within the bounds.
+// serviceTime returns the time that the payload names, or a random one within the bounds of the behaviour.
 func serviceTime(behaviour Behaviour, body []byte) time.Duration {
 	var p payload
+	// A payload that is no such object names no time.
 	_ = json.Unmarshal(body, &p)
 	millis := p.ServiceMillis
 	if millis == 0 {
--- a/internal/native/demo/cluster.go
+++ b/internal/native/demo/cluster.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"time"
 
 	"github.com/go-faster/errors"
@@ -19,20 +20,38 @@
 	"sailhead/internal/settings"
 )
 
-// loopback lets the system choose the port.
+// loopback is an address whose port the operating system chooses.
 const loopback = settings.Address("127.0.0.1:0")
 
-// cluster is a whole small system.
+const (
+	// gossipInterval is shorter than the default, so that the demo starts fast.
+	gossipInterval = 200 * time.Millisecond
+	// platformTimeout bounds the operator's calls to the platform.
+	platformTimeout = 2 * time.Second
+	// readyPollInterval is the time between two checks whether the processes are ready.
+	readyPollInterval = 20 * time.Millisecond
+	// zones is the number of availability zones over which the processes are spread.
+	zones = 3
+)
+
+// process is an entry or an agent.
+type process interface {
+	Knows(version, members int) bool
+	Metrics() *metric.Set
+}
+
+// cluster is the system of the demo.
 type cluster struct {
-	entries  []*daemon.Entry
-	agents   []*daemon.Agent
-	backends []*backendstandin.Server
-	session  *operator.Session
-	// stops are called in their order.
+	// processes are all entries and agents.
+	processes []process
+	entries   []*daemon.Entry
+	backends  []*backendstandin.Server
+	session   *operator.Session
+	// stops are called from the last to the first.
 	stops []func()
 }
 
-// lines are the operator's lines that set the demo up.
+// lines are the operator's lines that configure the demo.
 func lines() []string {
 	return []string{
 		"create service slot-broker",
@@ -47,7 +66,7 @@
 	}
 }
 
-// startCluster starts all processes of the demo inside this one.
+// startCluster starts the system inside this process.
 func startCluster(options Options, logger log.Logger) (*cluster, error) {
 	c := &cluster{}
 	if err := c.start(options, logger); err != nil {
@@ -57,6 +76,7 @@
 	return c, nil
 }
 
+// start starts the platform, the operator's session, the agents and the entries.
 func (c *cluster) start(options Options, logger log.Logger) error {
 	_, platformAddress, stopPlatform, err := platformstandin.NewServer(string(loopback))
 	if err != nil {
@@ -64,10 +84,10 @@
 	}
 	c.stops = append(c.stops, stopPlatform)
 	session, closeSession := operator.NewSession(operator.Options{
-		Author: "demo", Region: settings.New(settings.RoleOperator).Region, PlatformAddress: platformAddress, PlatformTimeout: 2 * time.Second,
+		Author: "demo", Region: settings.New(settings.RoleOperator).Region, PlatformAddress: platformAddress, PlatformTimeout: platformTimeout,
 	})
 	c.session = session
-	c.stops = append([]func(){closeSession}, c.stops...)
+	c.stops = append(c.stops, closeSession)
 	for i := range options.Agents {
 		if err := c.startAgent(i, platformAddress, logger); err != nil {
 			return err
@@ -81,45 +101,48 @@
 	return nil
 }
 
+// startAgent starts a backend server and its agent.
 func (c *cluster) startAgent(i int, platformAddress string, logger log.Logger) error {
 	server, address, stopBackend, err := backendstandin.NewServer(string(loopback), backendstandin.Behaviour{
-		Mode: backendstandin.ModeServe, MinMillis: 50, MaxMillis: 250,
+		Mode: backendstandin.ModeServe, MinMillis: minServiceMillis, MaxMillis: maxServiceMillis,
 	})
 	if err != nil {
 		return err
 	}
 	c.backends = append(c.backends, server)
-	c.stops = append([]func(){stopBackend}, c.stops...)
+	c.stops = append(c.stops, stopBackend)
 	s := settings.New(settings.RoleAgent)
 	s.Name = fmt.Sprintf("worker-%d", i+1)
-	s.Zone = fmt.Sprintf("zone-%d", i%3+1)
+	s.Zone = fmt.Sprintf("zone-%d", i%zones+1)
 	s.PlatformAddress = settings.Address(platformAddress)
 	s.PeerAddress = loopback
 	s.BackendAddress = settings.Address(address)
-	s.GossipInterval = 200 * time.Millisecond
+	s.GossipInterval = gossipInterval
 	agent, stop, err := daemon.NewAgent(s, logger)
 	if err != nil {
 		return err
 	}
-	c.agents = append(c.agents, agent)
-	c.stops = append([]func(){func() { _ = stop() }}, c.stops...)
+	c.processes = append(c.processes, agent)
+	c.stops = append(c.stops, ignoreError(stop))
 	return nil
 }
 
+// startEntry starts an entry.
 func (c *cluster) startEntry(i int, platformAddress string, logger log.Logger) error {
 	s := settings.New(settings.RoleEntry)
 	s.Name = fmt.Sprintf("entry-%d", i+1)
-	s.Zone = fmt.Sprintf("zone-%d", i%3+1)
+	s.Zone = fmt.Sprintf("zone-%d", i%zones+1)
 	s.PlatformAddress = settings.Address(platformAddress)
 	s.PeerAddress = loopback
 	s.CallerAddress = loopback
-	s.GossipInterval = 200 * time.Millisecond
+	s.GossipInterval = gossipInterval
 	entry, stop, err := daemon.NewEntry(s, logger)
 	if err != nil {
 		return err
 	}
+	c.processes = append(c.processes, entry)
 	c.entries = append(c.entries, entry)
-	c.stops = append([]func(){func() { _ = stop() }}, c.stops...)
+	c.stops = append(c.stops, ignoreError(stop))
 	return nil
 }
 
@@ -134,43 +157,49 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "demo: unable to wait for the processes")
-		case <-time.After(20 * time.Millisecond):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return nil
 }
 
+// isReady reports whether every process knows the whole configuration and all other processes.
 func (c *cluster) isReady() bool {
-	for _, entry := range c.entries {
-		if !entry.Knows(len(lines()), len(c.entries)+len(c.agents)) {
-			return false
-		}
-	}
-	for _, agent := range c.agents {
-		if !agent.Knows(len(lines()), len(c.entries)+len(c.agents)) {
+	for _, p := range c.processes {
+		if !p.Knows(len(lines()), len(c.processes)) {
 			return false
 		}
 	}
 	return true
 }
 
-// messages counts the messages between the processes.
-func (c *cluster) messages() (needed, wasted, background int64) {
-	for _, entry := range c.entries {
-		needed += entry.Metrics().Value(metric.MessagesNeeded)
-		wasted += entry.Metrics().Value(metric.MessagesWasted)
-		background += entry.Metrics().Value(metric.MessagesGossip)
-	}
-	for _, agent := range c.agents {
-		needed += agent.Metrics().Value(metric.MessagesNeeded)
-		wasted += agent.Metrics().Value(metric.MessagesWasted)
-		background += agent.Metrics().Value(metric.MessagesGossip)
+// messageCounts are the numbers of messages between the processes.
+type messageCounts struct {
+	needed     int64
+	wasted     int64
+	background int64
+}
+
+// messages counts the messages between the processes so far.
+func (c *cluster) messages() messageCounts {
+	var counts messageCounts
+	for _, p := range c.processes {
+		counts.needed += p.Metrics().Value(metric.MessagesNeeded)
+		counts.wasted += p.Metrics().Value(metric.MessagesWasted)
+		// An exchange of gossip is counted once, by the process that began it, and is a request and an answer.
+		counts.background += 2 * p.Metrics().Value(metric.MessagesGossip)
 	}
-	return needed, wasted, 2 * background
+	return counts
 }
 
+// stop stops what was started, the last first.
 func (c *cluster) stop() {
-	for _, stop := range c.stops {
+	for _, stop := range slices.Backward(c.stops) {
 		stop()
 	}
 }
+
+// ignoreError returns the clean-up of a process without its error, which the process has logged.
+func ignoreError(stop func() error) func() {
+	return func() { _ = stop() }
+}
--- a/internal/native/demo/demo.go
+++ b/internal/native/demo/demo.go
@@ -1,7 +1,11 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package demo runs a whole small system in one process and submits a mix of both teams' jobs.
+// Package demo runs a small system in one process, submits a mix of both teams' jobs and reports the answers.
+//
+// It owns the stand-ins, agents and entries that it starts (cluster.go), makes the load (load.go) and counts the answers
+// (report.go). It relies on the packages that the real processes run on. Nothing outside the process is involved, so a
+// failure to start, an answer that is not whole or a task that started twice ends the demo with an error.
 package demo
 
 import (
@@ -15,22 +19,28 @@
 	"sailhead/internal/logging"
 )
 
-// Options are the size of the demo.
+// Options are the size and length of the demo.
 type Options struct {
 	Agents  int
 	Entries int
 	Time    time.Duration
-	Rate    float64
+	// Rate is the number of jobs a second.
+	Rate float64
+	// Verbose writes the logs of the processes to the error output.
 	Verbose bool
 }
 
+// The largest options, for one small machine. Not measured.
 const (
 	maxProcesses = 64
 	maxTime      = 20 * time.Second
 	maxRate      = 1000.0
-	readyTime    = 6 * time.Second
 )
 
+// startTimeout is the longest time that the processes may take to know each other and the configuration. Not measured.
+const startTimeout = 6 * time.Second
+
+// check returns an error that names the first option out of range.
 func (o Options) check() error {
 	switch {
 	case o.Agents < 1 || o.Agents > maxProcesses:
@@ -46,7 +56,7 @@
 	}
 }
 
-// Run runs the demo and writes its progress and a table.
+// Run runs the demo and writes its progress and a table of the answers.
 func Run(options Options, out, errOut io.Writer) error {
 	if err := options.check(); err != nil {
 		return err
@@ -60,7 +70,7 @@
 		return err
 	}
 	defer c.stop()
-	ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := c.prepare(ctx); err != nil {
 		return err
--- a/internal/native/demo/load.go
+++ b/internal/native/demo/load.go
@@ -13,32 +13,50 @@
 	"sync"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"sailhead/internal/native/model"
 )
 
-// mix is one kind of job with its share and its largest number of tasks.
+const (
+	// requestTimeout is the longest time that a caller waits; each deadline of the demo's kinds is shorter.
+	requestTimeout = 15 * time.Second
+	// progressInterval is the time between two lines of progress.
+	progressInterval = 2 * time.Second
+	// minServiceMillis and maxServiceMillis bound the service time of a task.
+	minServiceMillis = 50
+	maxServiceMillis = 250
+)
+
+// allShares is the sum of the shares of all kinds.
+const allShares = 100
+
+// mix is one kind of job in the load.
 type mix struct {
 	service string
 	kind    string
 	team    string
-	share   int
-	tasks   int
+	// share is the kind's part of the jobs, out of allShares.
+	share int
+	// maxTasks is the largest number of tasks of a job.
+	maxTasks int
 }
 
+// mixes lists the kinds of jobs of the load.
 func mixes() []mix {
 	return []mix{
-		{service: "slot-broker", kind: "lookup", team: "vardtidsforbundet", share: 40, tasks: 6},
-		{service: "slot-broker", kind: "confirmation", team: "vardtidsforbundet", share: 10, tasks: 1},
-		{service: "slot-broker", kind: "reminder", team: "vardtidsforbundet", share: 15, tasks: 12},
-		{service: "refunds", kind: "eligibility", team: "dyfrdwy", share: 25, tasks: 3},
-		{service: "refunds", kind: "issuance", team: "dyfrdwy", share: 10, tasks: 1},
+		{service: "slot-broker", kind: "lookup", team: "vardtidsforbundet", share: 40, maxTasks: 6},
+		{service: "slot-broker", kind: "confirmation", team: "vardtidsforbundet", share: 10, maxTasks: 1},
+		{service: "slot-broker", kind: "reminder", team: "vardtidsforbundet", share: 15, maxTasks: 12},
+		{service: "refunds", kind: "eligibility", team: "dyfrdwy", share: 25, maxTasks: 3},
+		{service: "refunds", kind: "issuance", team: "dyfrdwy", share: 10, maxTasks: 1},
 	}
 }
 
-// pick returns a kind of job by its share.
+// pick returns a random kind of job, each as often as its share.
 func pick() mix {
 	all := mixes()
-	at := rand.IntN(100)
+	at := rand.IntN(allShares)
 	for _, m := range all {
 		if at < m.share {
 			return m
@@ -48,16 +66,12 @@
 	return all[0]
 }
 
-// The bounds of a task's service time.
-const (
-	minServiceMillis = 50
-	maxServiceMillis = 250
-)
-
+// taskBody is the payload of a task, as the backend stand-in reads it.
 type taskBody struct {
 	ServiceMillis int `json:"service_ms"`
 }
 
+// jobBody is the body of POST /v1/jobs.
 type jobBody struct {
 	Submission model.Key  `json:"submission"`
 	Service    string     `json:"service"`
@@ -66,6 +80,7 @@
 	Tasks      []taskBody `json:"tasks"`
 }
 
+// answerBody is the part of an answer that the demo reads.
 type answerBody struct {
 	Status  string            `json:"status"`
 	Results []json.RawMessage `json:"results"`
@@ -74,12 +89,12 @@
 // submitJobs submits jobs at the rate until the time is over and waits for the answers.
 func submitJobs(c *cluster, options Options, out io.Writer) *report {
 	r := newReport()
-	client := &http.Client{Timeout: 15 * time.Second}
+	client := &http.Client{Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
 	var group sync.WaitGroup
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / options.Rate))
 	defer ticker.Stop()
-	progress := time.NewTicker(2 * time.Second)
+	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
 	end := time.After(options.Time)
 	for next := 0; ; {
@@ -97,29 +112,29 @@
 	}
 }
 
-// outcome is what became of one job.
+// outcome is the result of one job.
 type outcome struct {
-	kind     string
-	status   string
-	tasks    int
+	kind   string
+	status string
+	tasks  int
+	// ideal is the service time of the longest task, response the time to the answer.
 	ideal    time.Duration
 	response time.Duration
 	err      error
 }
 
-// submit sends one job and checks that the answer is whole.
+// submit submits one job and checks that a complete answer has all results.
 func submit(client *http.Client, address string, m mix) outcome {
-	key, err := model.NewKey()
+	key, keyErr := model.NewKey()
 	body := jobBody{Submission: key, Service: m.service, Kind: m.kind, Team: m.team}
-	o := outcome{kind: m.service + "/" + m.kind, status: model.Status(nil), tasks: 1 + rand.IntN(m.tasks)}
+	o := outcome{kind: m.service + "/" + m.kind, status: model.Status(nil), tasks: 1 + rand.IntN(m.maxTasks)}
 	for range o.tasks {
 		millis := minServiceMillis + rand.IntN(maxServiceMillis-minServiceMillis)
 		o.ideal = max(o.ideal, time.Duration(millis)*time.Millisecond)
 		body.Tasks = append(body.Tasks, taskBody{ServiceMillis: millis})
 	}
 	data, marshalErr := json.Marshal(body)
-	if err != nil || marshalErr != nil {
-		o.err = err
+	if o.err = errors.Join(keyErr, marshalErr); o.err != nil {
 		return o
 	}
 	began := time.Now()
@@ -134,7 +149,7 @@
 	o.response = time.Since(began)
 	o.status = answer.Status
 	if answer.Status == model.Status(model.Complete{}) && len(answer.Results) != o.tasks {
-		o.err = fmt.Errorf("demo: job %s has %d results for %d tasks", key, len(answer.Results), o.tasks)
+		o.err = errors.Errorf("demo: job %s has %d results for %d tasks", key, len(answer.Results), o.tasks)
 	}
 	return o
 }
--- a/internal/native/demo/report.go
+++ b/internal/native/demo/report.go
@@ -16,35 +16,49 @@
 	"sailhead/internal/native/model"
 )
 
-// ratioScale is the number of histogram units in a ratio of 1.
-const ratioScale = 1000
+const (
+	// ratioScale is the number of units of a histogram in a ratio of 1.
+	ratioScale = 1000
+	// maxRatio is the largest ratio of response to ideal that a histogram records.
+	maxRatio = 1000
+	// ratioDigits is the number of significant digits of a histogram.
+	ratioDigits = 3
+)
+
+// newRatios returns an empty histogram of ratios.
+func newRatios() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxRatio*ratioScale, ratioDigits)
+}
 
-// report counts the answers by kind.
+// report counts the answers by kind. It is safe for concurrent use.
 type report struct {
 	mu     sync.Mutex
 	kinds  map[string]*kindReport
 	errors []error
 }
 
+// kindReport counts the answers of one kind.
 type kindReport struct {
 	jobs     int
 	tasks    int
 	complete int
 	notRun   int
 	failed   int
-	ratios   *hdrhistogram.Histogram
+	// ratios are response over ideal of the complete jobs.
+	ratios *hdrhistogram.Histogram
 }
 
 func newReport() *report {
 	return &report{kinds: make(map[string]*kindReport)}
 }
 
+// add counts the result of a job.
 func (r *report) add(o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k, ok := r.kinds[o.kind]
 	if !ok {
-		k = &kindReport{ratios: hdrhistogram.New(1, 1000*ratioScale, 3)}
+		k = &kindReport{ratios: newRatios()}
 		r.kinds[o.kind] = k
 	}
 	k.add(o)
@@ -59,6 +73,7 @@
 	switch o.status {
 	case model.Status(model.Complete{}):
 		k.complete++
+		// A ratio above maxRatio is not recorded; no answer within requestTimeout has one.
 		_ = k.ratios.RecordValue(int64(float64(o.response) / float64(o.ideal) * ratioScale))
 	case model.Status(model.NotRun{}):
 		k.notRun++
@@ -67,6 +82,7 @@
 	}
 }
 
+// answered returns the number of jobs so far.
 func (r *report) answered() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,9 +93,9 @@
 	return count
 }
 
-// total sums the kinds up.
+// total returns the sums over all kinds.
 func (r *report) total() kindReport {
-	total := kindReport{ratios: hdrhistogram.New(1, 1000*ratioScale, 3)}
+	total := kindReport{ratios: newRatios()}
 	for _, k := range r.kinds {
 		total.jobs += k.jobs
 		total.tasks += k.tasks
@@ -91,7 +107,8 @@
 	return total
 }
 
-// write writes the table and the last line.
+// write writes the table, the messages a task and the last line. Errors of the output are ignored, as in the
+// other lines of the demo: its result is the error of check.
 func (r *report) write(out io.Writer, c *cluster) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "kind\tjobs\ttasks\tp50/ideal\tp99/ideal\t")
@@ -106,19 +123,20 @@
 	total := r.total()
 	total.write(table, "all")
 	_ = table.Flush()
-	needed, wasted, background := c.messages()
+	messages := c.messages()
 	perTask := 1 / float64(max(total.tasks, 1))
 	_, _ = fmt.Fprintf(out, "messages a task: %.2f needed, %.3f wasted, %.3f background\n",
-		float64(needed)*perTask, float64(wasted)*perTask, float64(background)*perTask)
+		float64(messages.needed)*perTask, float64(messages.wasted)*perTask, float64(messages.background)*perTask)
 	_, _ = fmt.Fprintf(out, "demo: %d complete, %d not_run, %d failed\n", total.complete, total.notRun, total.failed)
 }
 
+// write writes the kind's row of the table.
 func (k *kindReport) write(out io.Writer, name string) {
 	_, _ = fmt.Fprintf(out, "%s\t%d\t%d\t%.3f\t%.3f\t\n", name, k.jobs, k.tasks,
 		float64(k.ratios.ValueAtPercentile(50))/ratioScale, float64(k.ratios.ValueAtPercentile(99))/ratioScale)
 }
 
-// check fails the demo if an answer was not whole or a task started twice.
+// check returns an error if a request failed, an answer was not whole or a task started twice.
 func (r *report) check(c *cluster) error {
 	starts := make(map[string]int)
 	for _, server := range c.backends {
--- a/internal/native/platformstandin/platform_test.go
+++ b/internal/native/platformstandin/platform_test.go
@@ -146,7 +146,7 @@
 
 func TestLeaseLapsesWithItsKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := NewStore(time.Now)
+		store := newStore(time.Now)
 		lease := store.Grant(time.Second)
 		if _, err := store.Swap("k", []byte("held"), 0, lease); err != nil {
 			t.Fatal(err)
@@ -171,7 +171,7 @@
 
 func TestListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := NewList(time.Now)
+		list := newVMList(time.Now)
 		list.Set("10.0.0.1:1", keyvalue.VMLive)
 		list.SetLag(time.Second)
 		list.Set("10.0.0.1:1", keyvalue.VMLeaving)
--- a/internal/native/platformstandin/server.go
+++ b/internal/native/platformstandin/server.go
@@ -17,25 +17,25 @@
 	"sailhead/internal/native/keyvalue"
 )
 
-// PathFaults switches the faults on and off.
+// PathFaults is the path at which the faults are read and set.
 const PathFaults = "/v1/faults"
 
-// Faults are what goes wrong at the stand-in.
+// Faults are the failures that the stand-in shows. The zero value is none.
 type Faults struct {
 	// Outage makes every call fail without effect.
 	Outage bool `json:"outage"`
-	// DelayMillis holds every answer back.
+	// DelayMillis delays every answer.
 	DelayMillis int `json:"delay_ms"`
-	// LostReplies is the number of writes to come that take effect and answer with an error.
+	// LostReplies is the number of next writes that take effect and answer with an error.
 	LostReplies int `json:"lost_replies"`
-	// ListLagMillis is the lag of the changes to the list of VMs.
+	// ListLagMillis is how long the list of VMs hides a change that comes from now on.
 	ListLagMillis int `json:"list_lag_ms"`
 }
 
 // Server serves a store and a list of VMs over HTTP.
 type Server struct {
-	store  *Store
-	list   *List
+	store  *store
+	list   *vmList
 	mu     sync.Mutex
 	faults Faults
 }
@@ -46,13 +46,14 @@
 	if err != nil {
 		return nil, "", nil, errors.Wrapf(err, "platformstandin: unable to listen at %s", address)
 	}
-	s := &Server{store: NewStore(time.Now), list: NewList(time.Now)}
+	s := &Server{store: newStore(time.Now), list: newVMList(time.Now)}
 	http := &fasthttp.Server{Handler: s.serve, Name: "platform-standin", MaxRequestBodySize: 2 * keyvalue.MaxValue, CloseOnShutdown: true}
+	// Serve returns when the clean-up closes the listener; its error says no more than that.
 	go func() { _ = http.Serve(listener) }()
 	return s, listener.Addr().String(), func() { _ = listener.Close() }, nil
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	s.faults = faults
@@ -82,9 +83,10 @@
 	}
 }
 
-// PathVMs is the path of the list; a VM below it is set with PUT ?state= and taken off with DELETE.
+// PathVMs is the path of the list. Below it, PUT ADDRESS?state=STATE lists a VM and DELETE ADDRESS removes one.
 const PathVMs = keyvalue.PathVMs
 
+// serveService serves the calls of the platform, as package keyvalue makes them.
 func (s *Server) serveService(ctx *fasthttp.RequestCtx, path string) {
 	switch {
 	case path == PathVMs:
@@ -103,6 +105,7 @@
 func (s *Server) serveGet(ctx *fasthttp.RequestCtx, key string) {
 	after, wait := uint64(0), time.Duration(0)
 	if text := ctx.QueryArgs().Peek(keyvalue.ParamAfter); len(text) > 0 {
+		// A revision or wait that is not valid counts as 0.
 		after, _ = strconv.ParseUint(string(text), 10, 64)
 		wait, _ = time.ParseDuration(string(ctx.QueryArgs().Peek(keyvalue.ParamWait)))
 	}
@@ -157,12 +160,17 @@
 }
 
 func (s *Server) serveVMs(ctx *fasthttp.RequestCtx) {
-	body, err := json.Marshal(s.list.VMs())
+	writeJSON(ctx, s.list.VMs())
+}
+
+// writeJSON writes the body of an answer.
+func writeJSON(ctx *fasthttp.RequestCtx, body any) {
+	data, err := json.Marshal(body)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	ctx.SetBody(body)
+	ctx.SetBody(data)
 }
 
 func (s *Server) setVM(ctx *fasthttp.RequestCtx, address string) {
@@ -179,9 +187,9 @@
 func (s *Server) serveFaults(ctx *fasthttp.RequestCtx) {
 	if ctx.IsGet() {
 		s.mu.Lock()
-		body, _ := json.Marshal(s.faults)
+		faults := s.faults
 		s.mu.Unlock()
-		ctx.SetBody(body)
+		writeJSON(ctx, faults)
 		return
 	}
 	var faults Faults
@@ -205,7 +213,7 @@
 	time.Sleep(delay)
 }
 
-// losesReply uses up one lost reply.
+// losesReply reports whether the answer to this write is lost, and counts it.
 func (s *Server) losesReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/native/platformstandin/store.go
+++ b/internal/native/platformstandin/store.go
@@ -1,10 +1,6 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package platformstandin takes the platform's place in tests, demos and trials.
-//
-// It keeps the key-value service and the list of VMs in memory and shows outages, slowness,
-// lost replies and a lagging list on request.
 package platformstandin
 
 import (
@@ -16,29 +12,33 @@
 	"sailhead/internal/native/keyvalue"
 )
 
-// Store is the key-value service in memory.
-type Store struct {
+// store is the key-value service in memory. It is safe for concurrent use.
+type store struct {
 	mu       sync.Mutex
 	revision uint64
 	values   map[string]stored
 	leases   map[keyvalue.LeaseID]lease
-	changed  chan struct{}
-	now      func() time.Time
+	// changed is closed, and replaced, at each change.
+	changed chan struct{}
+	now     func() time.Time
 }
 
+// stored is a value with the lease under which it was written, if any.
 type stored struct {
 	value keyvalue.Value
 	lease keyvalue.LeaseID
 }
 
+// lease is a lease with its time to live.
 type lease struct {
-	ttl    time.Duration
-	lapses time.Time
+	ttl time.Duration
+	// expires is when the lease ends unless it is extended.
+	expires time.Time
 }
 
-// NewStore returns an empty store that reads the time from the clock.
-func NewStore(now func() time.Time) *Store {
-	return &Store{
+// newStore returns an empty store that reads the time from the clock.
+func newStore(now func() time.Time) *store {
+	return &store{
 		values:  make(map[string]stored),
 		leases:  make(map[keyvalue.LeaseID]lease),
 		changed: make(chan struct{}),
@@ -47,10 +47,10 @@
 }
 
 // Get returns the value of a key.
-func (s *Store) Get(key string) (keyvalue.Value, error) {
+func (s *store) Get(key string) (keyvalue.Value, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 	v, ok := s.values[key]
 	if !ok {
 		return keyvalue.Value{}, keyvalue.ErrNotFound
@@ -59,7 +59,7 @@
 }
 
 // Await returns the value once it has a revision after the given one or the wait is over.
-func (s *Store) Await(key string, after uint64, wait time.Duration) (keyvalue.Value, error) {
+func (s *store) Await(key string, after uint64, wait time.Duration) (keyvalue.Value, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -79,10 +79,10 @@
 }
 
 // Swap writes the value if the key has the revision.
-func (s *Store) Swap(key string, data []byte, revision uint64, id keyvalue.LeaseID) (uint64, error) {
+func (s *store) Swap(key string, data []byte, revision uint64, id keyvalue.LeaseID) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 	if s.values[key].value.Revision != revision {
 		return 0, keyvalue.ErrConflict
 	}
@@ -96,49 +96,50 @@
 }
 
 // Grant returns a new lease.
-func (s *Store) Grant(ttl time.Duration) keyvalue.LeaseID {
+func (s *store) Grant(ttl time.Duration) keyvalue.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := keyvalue.LeaseID(uuid.NewString())
-	s.leases[id] = lease{ttl: ttl, lapses: s.now().Add(ttl)}
+	s.leases[id] = lease{ttl: ttl, expires: s.now().Add(ttl)}
 	return id
 }
 
 // KeepAlive extends a lease.
-func (s *Store) KeepAlive(id keyvalue.LeaseID) error {
+func (s *store) KeepAlive(id keyvalue.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 	l, ok := s.leases[id]
 	if !ok {
 		return keyvalue.ErrLeaseLapsed
 	}
-	l.lapses = s.now().Add(l.ttl)
+	l.expires = s.now().Add(l.ttl)
 	s.leases[id] = l
 	return nil
 }
 
 // Revoke ends a lease.
-func (s *Store) Revoke(id keyvalue.LeaseID) error {
+func (s *store) Revoke(id keyvalue.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.leases[id]; !ok {
 		return keyvalue.ErrLeaseLapsed
 	}
-	s.drop(id)
+	s.endLease(id)
 	return nil
 }
 
-// lapse drops the leases whose time is over.
-func (s *Store) lapse() {
+// expire ends the leases whose time is over.
+func (s *store) expire() {
 	for id, l := range s.leases {
-		if l.lapses.Before(s.now()) {
-			s.drop(id)
+		if l.expires.Before(s.now()) {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *Store) drop(id keyvalue.LeaseID) {
+// endLease removes a lease and the keys written under it.
+func (s *store) endLease(id keyvalue.LeaseID) {
 	delete(s.leases, id)
 	for key, v := range s.values {
 		if v.lease == id {
@@ -148,7 +149,8 @@
 	s.wake()
 }
 
-func (s *Store) wake() {
+// wake ends the waits of Await, which look at the store again.
+func (s *store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/native/platformstandin/vms.go
+++ b/internal/native/platformstandin/vms.go
@@ -12,8 +12,8 @@
 	"sailhead/internal/native/keyvalue"
 )
 
-// List is the platform's list of VMs, which shows each change only after a lag.
-type List struct {
+// vmList is the platform's list of VMs, which shows each change only after a lag. It is safe for concurrent use.
+type vmList struct {
 	mu      sync.Mutex
 	lag     time.Duration
 	shown   map[string]keyvalue.VMState
@@ -21,33 +21,34 @@
 	now     func() time.Time
 }
 
+// listing is a change of the list that is shown at a time.
 type listing struct {
 	address string
 	state   keyvalue.VMState
 	at      time.Time
 }
 
-// NewList returns an empty list that reads the time from the clock.
-func NewList(now func() time.Time) *List {
-	return &List{shown: make(map[string]keyvalue.VMState), now: now}
+// newVMList returns an empty list that reads the time from the clock.
+func newVMList(now func() time.Time) *vmList {
+	return &vmList{shown: make(map[string]keyvalue.VMState), now: now}
 }
 
 // SetLag sets the lag of the changes to come.
-func (l *List) SetLag(lag time.Duration) {
+func (l *vmList) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = lag
 }
 
 // Set changes the state of a VM; an empty state takes it off the list.
-func (l *List) Set(address string, state keyvalue.VMState) {
+func (l *vmList) Set(address string, state keyvalue.VMState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, listing{address: address, state: state, at: l.now().Add(l.lag)})
 }
 
 // VMs returns the list as it is shown now.
-func (l *List) VMs() []keyvalue.VM {
+func (l *vmList) VMs() []keyvalue.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.show()
@@ -60,7 +61,7 @@
 }
 
 // show applies the changes whose lag is over, in their order.
-func (l *List) show() {
+func (l *vmList) show() {
 	for len(l.pending) > 0 && !l.pending[0].at.After(l.now()) {
 		change := l.pending[0]
 		l.pending = l.pending[1:]
