--- a/internal/native/caller/request.go
+++ b/internal/native/caller/request.go
@@ -1,7 +1,6 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package caller serves the callers' API over HTTP and JSON.
 package caller
 
 import (
@@ -17,12 +16,15 @@
 )
 
 const (
-	maxName      = 64
-	maxDeadline  = time.Hour
+	// maxName is the longest name of a service, kind or team, in bytes.
+	maxName = 64
+	// maxDeadline is how far ahead a deadline may lie.
+	maxDeadline = time.Hour
+	// firstAttempt is the attempt of a request that names none.
 	firstAttempt = 1
 )
 
-// errDeadline says that a deadline is not a time.
+// errDeadline is the error of a deadline that is not a time.
 var errDeadline = errors.New("caller: the deadline is not a time")
 
 // deadline is a point in time in RFC 3339 form.
@@ -47,7 +49,7 @@
 	Tasks      []json.RawMessage `json:"tasks"`
 }
 
-// parse reads a job from a body, or tells which field is wrong.
+// parse reads a job from a body, or returns which field is wrong.
 func parse(body []byte, trace string, now time.Time) (model.Job, *model.Rejected) {
 	var r request
 	if rejected := decode(body, &r); rejected != nil {
@@ -59,7 +61,7 @@
 	return r.job(trace), nil
 }
 
-// decode reads the JSON strictly and names the field that does not fit.
+// decode reads a body that must be one JSON value without unknown fields, or returns which field is wrong.
 func decode(body []byte, r *request) *model.Rejected {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -81,6 +83,7 @@
 	return nil
 }
 
+// fieldOf returns the name of a field for its path in the body, which is empty for the body itself.
 func fieldOf(path string) string {
 	if path == "" {
 		return "body"
@@ -92,6 +95,7 @@
 	return &model.Rejected{Field: field, Reason: reason}
 }
 
+// check returns the first field that is missing or out of range, or nil.
 func (r *request) check(now time.Time) *model.Rejected {
 	switch {
 	case !model.Key(r.Submission).IsValid():
@@ -115,10 +119,12 @@
 	}
 }
 
+// isName reports whether a name of a service, kind or team is well-formed.
 func isName(name string) bool {
 	return len(name) > 0 && len(name) <= maxName && !strings.ContainsAny(name, " /?#\t\r\n")
 }
 
+// job returns the job that a checked request asks for.
 func (r *request) job(trace string) model.Job {
 	job := model.Job{
 		Key: model.Key(r.Submission), Attempt: firstAttempt, Service: r.Service, Kind: r.Kind, Team: r.Team,
--- a/internal/native/caller/response.go
+++ b/internal/native/caller/response.go
@@ -26,12 +26,15 @@
 	RetryAfterMs int64             `json:"retry_after_ms,omitempty"`
 }
 
-// The states of a submission that has no final answer.
+// The statuses of a submission without a final answer.
 const (
 	statusRunning = "running"
 	statusUnknown = "unknown"
 )
 
+// statusRejected is the status of a request that names no submission.
+const statusRejected = "rejected"
+
 // writeAnswer writes the final answer to a submission.
 func writeAnswer(ctx *fasthttp.RequestCtx, key model.Key, answer model.Answer, repeatable bool) {
 	body := response{Submission: string(key), Status: model.Status(answer)}
@@ -64,13 +67,13 @@
 	writeBody(ctx, status, body)
 }
 
-// setRetryAfter rounds up to the whole seconds that the header knows.
+// setRetryAfter sets the header, which has whole seconds, rounded up.
 func setRetryAfter(ctx *fasthttp.RequestCtx, after time.Duration) {
 	seconds := max(1, int(math.Ceil(after.Seconds())))
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 }
 
-// results returns the tasks' results; one that is not JSON becomes a JSON text.
+// results returns the tasks' results as JSON. A result that is not JSON becomes a JSON string.
 func results(raw [][]byte) []json.RawMessage {
 	messages := make([]json.RawMessage, len(raw))
 	for i, each := range raw {
@@ -78,12 +81,14 @@
 			messages[i] = each
 			continue
 		}
+		// A string can always be encoded: bytes that are not UTF-8 are replaced.
 		text, _ := json.Marshal(string(each))
 		messages[i] = text
 	}
 	return messages
 }
 
+// writeBody writes the status and the JSON body of an answer.
 func writeBody(ctx *fasthttp.RequestCtx, status int, body response) {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/internal/native/caller/server.go
+++ b/internal/native/caller/server.go
@@ -28,25 +28,34 @@
 // HeaderTrace carries the trace by which the time line joins the events of a request.
 const HeaderTrace = "X-Trace"
 
-const maxTrace = 64
+const (
+	// maxTrace is the longest trace that is accepted from a caller, in bytes.
+	maxTrace = 64
+	// idleTimeout is how long a connection without a request is kept. Not measured.
+	idleTimeout = time.Minute
+	// maxHeader is the largest header of a request, in bytes.
+	maxHeader = 16 << 10
+)
 
-// Dispatcher serves the jobs that callers submit.
+// Dispatcher answers the jobs that callers submit. It is safe for concurrent use.
 type Dispatcher interface {
 	// Submit returns the final answer to a job.
 	Submit(job model.Job) model.Answer
 	// State returns the final answer to a submission, or whether it is under way.
 	State(key model.Key) (answer model.Answer, underWay bool)
-	// IsRepeatable reports whether a call of the kind may be submitted anew after an unknown outcome.
+	// IsRepeatable reports whether callers may submit a job of the kind again after an unknown outcome.
 	IsRepeatable(service, kind string) bool
-	// IsReady tells why the process cannot take jobs; nothing means that it can.
+	// IsReady reports whether the process accepts jobs, and the reason if it does not.
 	IsReady() (reason string, ready bool)
 }
 
-// Limits bound what callers may ask for.
+// Limits are the bounds of requests and connections.
 type Limits struct {
+	// MaxBody is the largest body of a request, in bytes.
 	MaxBody        int
 	MaxConnections int
-	ReadTimeout    time.Duration
+	// ReadTimeout is the longest time to read a request, and to write an answer.
+	ReadTimeout time.Duration
 }
 
 // server answers callers.
@@ -54,8 +63,8 @@
 	dispatcher Dispatcher
 }
 
-// NewServer serves callers on the listener. The clean-up takes no new requests and waits for the open
-// ones until its context ends.
+// NewServer serves callers on the listener. The clean-up accepts no new requests and waits for the open ones until its
+// context ends.
 func NewServer(listener net.Listener, limits Limits, dispatcher Dispatcher) (cleanup func(context.Context) error) {
 	s := &server{dispatcher: dispatcher}
 	http := &fasthttp.Server{
@@ -64,13 +73,14 @@
 		Name:               "sailhead",
 		Concurrency:        limits.MaxConnections,
 		ReadTimeout:        limits.ReadTimeout,
-		IdleTimeout:        time.Minute,
+		IdleTimeout:        idleTimeout,
 		WriteTimeout:       limits.ReadTimeout,
 		MaxRequestBodySize: limits.MaxBody,
-		ReadBufferSize:     16 << 10,
+		ReadBufferSize:     maxHeader,
 		CloseOnShutdown:    true,
 		Logger:             quiet{},
 	}
+	// Serve returns when the clean-up closes the listener; its error says no more than that.
 	go func() { _ = http.Serve(listener) }()
 	return func(ctx context.Context) error {
 		if err := http.ShutdownWithContext(ctx); err != nil {
@@ -80,7 +90,8 @@
 	}
 }
 
-// quiet drops the library's lines about callers that break off; the answers and counters tell of them.
+// quiet drops fasthttp's log lines about callers that disconnect or send malformed requests. These are no faults of the
+// process, and one caller could fill the log with them.
 type quiet struct{}
 
 // Printf drops the line.
@@ -99,10 +110,11 @@
 	case errors.As(err, &network) && network.Timeout():
 		status, reason = fasthttp.StatusRequestTimeout, "the request was not sent in time"
 	}
-	writeBody(ctx, status, response{Status: "rejected", Field: "body", Reason: reason})
+	writeBody(ctx, status, response{Status: statusRejected, Field: "body", Reason: reason})
 	ctx.SetConnectionClose()
 }
 
+// serve routes a request by its path.
 func (s *server) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -117,14 +129,15 @@
 	case path == PathVars:
 		expvarhandler.ExpvarHandler(ctx)
 	default:
-		writeBody(ctx, fasthttp.StatusNotFound, response{Status: "rejected", Field: "path", Reason: "no such path"})
+		writeBody(ctx, fasthttp.StatusNotFound, response{Status: statusRejected, Field: "path", Reason: "no such path"})
 	}
 }
 
+// serveSubmit submits a job and writes its final answer.
 func (s *server) serveSubmit(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() {
 		ctx.Response.Header.Set(fasthttp.HeaderAllow, fasthttp.MethodPost)
-		writeBody(ctx, fasthttp.StatusMethodNotAllowed, response{Status: "rejected", Field: "method", Reason: "needs POST"})
+		writeBody(ctx, fasthttp.StatusMethodNotAllowed, response{Status: statusRejected, Field: "method", Reason: "needs POST"})
 		return
 	}
 	// The body belongs to the connection's buffer, and a job outlives its request.
@@ -148,9 +161,10 @@
 	return trace
 }
 
+// serveState writes the state of a submission.
 func (s *server) serveState(ctx *fasthttp.RequestCtx, key model.Key) {
 	if !ctx.IsGet() || !key.IsValid() {
-		writeBody(ctx, fasthttp.StatusBadRequest, response{Status: "rejected", Field: "submission", Reason: "needs GET and a legal key"})
+		writeBody(ctx, fasthttp.StatusBadRequest, response{Status: statusRejected, Field: "submission", Reason: "needs GET and a legal key"})
 		return
 	}
 	answer, underWay := s.dispatcher.State(key)
@@ -165,6 +179,7 @@
 	}
 }
 
+// serveReady writes whether the process accepts jobs, for the balancer.
 func (s *server) serveReady(ctx *fasthttp.RequestCtx) {
 	if reason, ready := s.dispatcher.IsReady(); !ready {
 		ctx.Error(reason, fasthttp.StatusServiceUnavailable)
--- a/internal/native/configuration/change.go
+++ b/internal/native/configuration/change.go
@@ -13,7 +13,8 @@
 	"sailhead/internal/native/model"
 )
 
-// Change is one decision of an operator; the types below are all there are.
+// Change is a change of the configuration: CreateService, DropService, SetKind, DropKind, SetTeam, DropTeam, DrainWorker or
+// ResumeWorker.
 type Change interface{ isChange() }
 
 // CreateService adds a service without kinds.
@@ -22,7 +23,7 @@
 // DropService removes a service with its kinds.
 type DropService struct{ Name string }
 
-// SetKind adds a kind or changes the parts of it that are given.
+// SetKind adds a kind or changes it. A nil field is left as it is, or takes its default in a new kind.
 type SetKind struct {
 	Service    string
 	Name       string
@@ -44,7 +45,7 @@
 // DropTeam removes a team.
 type DropTeam struct{ Name string }
 
-// DrainWorker lets a worker finish and gives it no new tasks.
+// DrainWorker stops new tasks at a worker. Tasks that it has accepted go on.
 type DrainWorker struct{ Name string }
 
 // ResumeWorker ends the draining of a worker.
@@ -60,12 +61,16 @@
 func (ResumeWorker) isChange()  {}
 
 const (
-	maxName  = 64
-	maxTime  = time.Hour
+	// maxName is the longest name, in bytes.
+	maxName = 64
+	// maxTime is the longest deadline of a kind.
+	maxTime = time.Hour
+	// maxQuota is the largest quota, in task starts a second.
 	maxQuota = 10_000_000
 )
 
-// With returns the next version with a change, recorded as given.
+// With returns the next version, with the change applied and the record in the history. On an error it returns the
+// configuration as it is.
 func (c Configuration) With(change Change, record Record) (Configuration, error) {
 	next, err := c.apply(change)
 	if err != nil {
@@ -75,6 +80,7 @@
 	return next.withRecord(record), nil
 }
 
+// apply returns the configuration with a change, in the same version.
 func (c Configuration) apply(change Change) (Configuration, error) {
 	switch ch := change.(type) {
 	case CreateService:
@@ -139,7 +145,7 @@
 	return c.withKinds(ch.Service, kinds), nil
 }
 
-// with returns the kind with the parts that a change gives.
+// with returns the kind with the fields that a change sets, or an error if one is out of range.
 func (k Kind) with(ch SetKind) (Kind, error) {
 	if err := checkName(ch.Name); err != nil {
 		return k, err
@@ -159,6 +165,7 @@
 	return k, k.check()
 }
 
+// check returns an error for the first field that is out of range.
 func (k Kind) check() error {
 	if k.Urgency < 0 || k.Urgency > model.MaxUrgency {
 		return errors.Errorf("configuration: urgency %d is not within 0 to %d", k.Urgency, model.MaxUrgency)
@@ -184,6 +191,7 @@
 	return c.withKinds(ch.Service, kinds), nil
 }
 
+// withKinds returns the configuration with other kinds of a service.
 func (c Configuration) withKinds(service string, kinds []Kind) Configuration {
 	c.Services = slices.Clone(c.Services)
 	for i := range c.Services {
@@ -233,10 +241,12 @@
 	return c, nil
 }
 
+// unknown returns the error for a name that the configuration does not have.
 func unknown(what, name string) error {
 	return errors.Errorf("configuration: no such %s: %s", what, name)
 }
 
+// checkName returns an error for a name that is empty, too long or has characters that the language does not allow.
 func checkName(name string) error {
 	if len(name) == 0 || len(name) > maxName || strings.ContainsAny(name, " \t\r\n\"/") {
 		return errors.Errorf("configuration: %q is not a name of 1 to %d characters without spaces", name, maxName)
--- a/internal/native/configuration/configuration.go
+++ b/internal/native/configuration/configuration.go
@@ -1,7 +1,13 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package configuration holds what operators decide: services, kinds, teams and drained workers.
+// Package configuration has the operators' configuration: services with their kinds, teams with their quotas, and the
+// workers that are drained. A Configuration is an immutable value; With returns the next version with a change
+// (change.go), and each version has the last HistoryLength changes, so that a process that is behind by fewer replays
+// them (envelope.go).
+//
+// The package owns no state. The platform stores the configuration as JSON, processes keep the latest version that they
+// have seen, and package operator makes the changes.
 package configuration
 
 import (
@@ -11,10 +17,10 @@
 	"sailhead/internal/native/model"
 )
 
-// HistoryLength is the number of past changes that a configuration keeps.
+// HistoryLength is the number of changes in a configuration's history. Not measured.
 const HistoryLength = 200
 
-// Configuration is one version of the operators' decisions, as an immutable value.
+// Configuration is one version of the configuration.
 type Configuration struct {
 	Version  uint64    `json:"version"`
 	Services []Service `json:"services"`
@@ -23,33 +29,33 @@
 	History  []Record  `json:"history"`
 }
 
-// Service is a kind of backend server with the kinds of call it accepts.
+// Service is a service of the backend servers with its kinds.
 type Service struct {
 	Name  string `json:"name"`
 	Kinds []Kind `json:"kinds"`
 }
 
-// Kind is a kind of call.
+// Kind is a kind of job.
 type Kind struct {
 	Name string `json:"name"`
 	// Urgency runs from 0 to model.MaxUrgency; the higher goes first.
 	Urgency int `json:"urgency"`
-	// Deadline applies to jobs that bring none, counted from their arrival.
+	// Deadline is the deadline of jobs that name none, from their arrival.
 	Deadline time.Duration `json:"deadline_ns"`
 	// Expected is the usual service time of a task, used until it has been measured.
 	Expected time.Duration `json:"expected_ns"`
-	// Repeatable says that callers may submit the call anew after an unknown outcome.
+	// Repeatable is set if callers may submit a job again after an unknown outcome.
 	Repeatable bool `json:"repeatable"`
 }
 
 // Team is a client team with its quota.
 type Team struct {
 	Name string `json:"name"`
-	// Quota is the number of task starts a second; 0 is no limit.
+	// Quota is the largest number of task starts a second, or 0 for no limit.
 	Quota int `json:"quota"`
 }
 
-// Record is one past change.
+// Record is a change in the history.
 type Record struct {
 	Version uint64    `json:"version"`
 	ID      string    `json:"id"`
@@ -59,7 +65,7 @@
 	Change  Envelope  `json:"change"`
 }
 
-// The defaults of a kind.
+// The defaults of a kind. Not measured.
 const (
 	DefaultUrgency  = 5
 	DefaultDeadline = 5 * time.Second
@@ -91,12 +97,12 @@
 	return slices.Contains(c.Draining, worker)
 }
 
-// RecordByID reports whether the change is in the history.
+// RecordByID returns the change with the id, if the history has it.
 func (c Configuration) RecordByID(id string) (Record, bool) {
 	return byName(c.History, id, func(e Record) string { return e.ID })
 }
 
-// Check returns which field of a job the configuration does not know, with the kind if it knows all.
+// Check returns the job's kind, or the field of the job that names an unknown service, kind or team.
 func (c Configuration) Check(job model.Job) (Kind, model.Rejected, bool) {
 	service, ok := c.ServiceByName(job.Service)
 	if !ok {
@@ -123,6 +129,7 @@
 	return c
 }
 
+// byName returns the first element with the name.
 func byName[T any](all []T, name string, nameOf func(T) string) (T, bool) {
 	i := slices.IndexFunc(all, func(each T) bool { return nameOf(each) == name })
 	if i < 0 {
--- a/internal/native/configuration/envelope.go
+++ b/internal/native/configuration/envelope.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Envelope is a change as it is kept in the history; one part is set.
+// Envelope is the stored form of a change. One field is set.
 type Envelope struct {
 	CreateService *CreateService `json:"create_service,omitempty"`
 	DropService   *DropService   `json:"drop_service,omitempty"`
@@ -21,7 +21,7 @@
 	ResumeWorker  *ResumeWorker  `json:"resume_worker,omitempty"`
 }
 
-// seal puts a change in an envelope.
+// seal returns the stored form of a change.
 func seal(change Change) Envelope {
 	switch ch := change.(type) {
 	case CreateService:
@@ -45,7 +45,7 @@
 	}
 }
 
-// open takes the change out of the envelope.
+// open returns the change of a stored form, or an error for a kind of change that this version does not know.
 func (e Envelope) open() (Change, error) {
 	switch {
 	case e.CreateService != nil:
@@ -78,7 +78,7 @@
 	return c.History[first:], true
 }
 
-// Replay returns the configuration with the changes that follow its version; others are passed over.
+// Replay returns the configuration with the records that follow its version applied in order. It skips all others.
 func (c Configuration) Replay(records []Record) (Configuration, error) {
 	for _, record := range records {
 		if record.Version != c.Version+1 {
--- a/internal/native/operator/grammar.go
+++ b/internal/native/operator/grammar.go
@@ -1,8 +1,6 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package operator is the query and command language by which operators ask what runs where and
-// change the configuration.
 package operator
 
 import (
@@ -89,7 +87,7 @@
 	Quota word   `parser:"'quota' @@"`
 }
 
-// word is a word with its place in the line.
+// word is a word with its position in the line.
 type word struct {
 	Pos  lexer.Position
 	Text string `parser:"@Word"`
@@ -100,6 +98,7 @@
 	return &SyntaxError{Column: w.Pos.Column - 1, Reason: fmt.Sprintf(format, args...)}
 }
 
+// count returns the word as a number from 0.
 func (w word) count() (int, error) {
 	number, err := strconv.Atoi(w.Text)
 	if err != nil || number < 0 {
@@ -108,6 +107,7 @@
 	return number, nil
 }
 
+// duration returns the word as a time with a unit.
 func (w word) duration() (time.Duration, error) {
 	span, err := time.ParseDuration(w.Text)
 	if err != nil {
@@ -116,6 +116,7 @@
 	return span, nil
 }
 
+// yesNo returns the word as yes or no.
 func (w word) yesNo() (bool, error) {
 	if w.Text != "yes" && w.Text != "no" {
 		return false, w.fail("%q is neither yes nor no", w.Text)
@@ -123,17 +124,21 @@
 	return w.Text == "yes", nil
 }
 
+// lookahead is how many words the parser reads ahead to choose a rule.
+const lookahead = 3
+
 var grammar = participle.MustBuild[line](
 	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Word", Pattern: `\S+`},
 		{Name: "space", Pattern: `\s+`},
 	})),
-	participle.UseLookahead(3),
+	participle.UseLookahead(lookahead),
 )
 
-// SyntaxError points at the word of a line that is wrong.
+// SyntaxError is the error of a line that cannot be read.
 type SyntaxError struct {
-	Line   string
+	Line string
+	// Column is where the wrong word begins, from 0.
 	Column int
 	Reason string
 }
@@ -157,7 +162,7 @@
 	return nil, &SyntaxError{Line: text, Column: column, Reason: reasonAt(text, column)}
 }
 
-// reasonAt tells what is wrong at a place of the line.
+// reasonAt returns what is wrong at a column of the line.
 func reasonAt(text string, column int) string {
 	rest := strings.Fields(text[min(column, len(text)):])
 	if len(rest) == 0 {
@@ -166,7 +171,7 @@
 	return fmt.Sprintf("%q does not fit here; see help", rest[0])
 }
 
-// change returns the configuration change that a line asks for, or nothing for a query.
+// change returns the configuration change that a line asks for, or nil for a query.
 func (l *line) change() (configuration.Change, error) {
 	switch {
 	case l.Create != nil:
@@ -184,6 +189,7 @@
 	}
 }
 
+// change returns the change that a drop line asks for.
 func (d *drop) change() configuration.Change {
 	switch {
 	case d.Service != nil:
@@ -195,6 +201,7 @@
 	}
 }
 
+// change returns the change that a set line asks for.
 func (s *set) change() (configuration.Change, error) {
 	if s.Team != nil {
 		quota, err := s.Team.Quota.count()
@@ -209,7 +216,7 @@
 	return change, nil
 }
 
-// apply sets the part of a kind that the words give.
+// apply sets the part of a kind that the words name.
 func (p kindPart) apply(change *configuration.SetKind) error {
 	var err error
 	switch {
@@ -225,6 +232,7 @@
 	return err
 }
 
+// given returns a pointer to a value, for a part of a change that is given.
 func given[T any](value T, err error) (*T, error) {
 	return &value, err
 }
--- a/internal/native/operator/query.go
+++ b/internal/native/operator/query.go
@@ -16,14 +16,16 @@
 	"sailhead/internal/native/peer/peerpb"
 )
 
-// inspectTime bounds the wait for one process.
-const inspectTime = 2 * time.Second
-
-// inspectParallel is the number of processes that are asked at a time.
-const inspectParallel = 32
-
-const timeFormat = "2006-01-02T15:04:05.000Z"
+const (
+	// inspectTimeout is the longest wait for the answer of one process. Not measured.
+	inspectTimeout = 2 * time.Second
+	// maxInspections is the largest number of processes that are asked at the same time. Not measured.
+	maxInspections = 32
+	// timeFormat is the form of times in tables, in UTC.
+	timeFormat = "2006-01-02T15:04:05.000Z"
+)
 
+// query answers a show line.
 func (s *Session) query(ctx context.Context, q *show) (Result, error) {
 	switch {
 	case q.Workers:
@@ -49,6 +51,7 @@
 	}
 }
 
+// table lists the changes that the line asks for.
 func (h *showHistory) table(c configuration.Configuration) (Result, error) {
 	if h.Last == nil {
 		return history(c, 0), nil
@@ -60,6 +63,7 @@
 	return history(c, last), nil
 }
 
+// services lists the services.
 func services(c configuration.Configuration) Table {
 	t := Table{Columns: []string{"service", "kinds"}}
 	for _, service := range c.Services {
@@ -68,6 +72,7 @@
 	return t
 }
 
+// kinds lists the kinds of a service, or of all services if none is named.
 func kinds(c configuration.Configuration, of string) Table {
 	t := Table{Columns: []string{"service", "kind", "urgency", "deadline", "expected", "repeatable"}}
 	for _, service := range c.Services {
@@ -83,6 +88,7 @@
 	return t
 }
 
+// teams lists the teams.
 func teams(c configuration.Configuration) Table {
 	t := Table{Columns: []string{"team", "quota"}}
 	for _, team := range c.Teams {
@@ -91,7 +97,7 @@
 	return t
 }
 
-// history lists the changes, the latest last; a limit of 0 lists all that are kept.
+// history lists the last changes, the latest at the end. If last is 0, it lists all changes that the configuration has.
 func history(c configuration.Configuration, last int) Table {
 	t := Table{Columns: []string{"version", "time", "author", "change", "line"}}
 	entries := c.History
@@ -104,6 +110,7 @@
 	return t
 }
 
+// yes returns the word for a truth value.
 func yes(b bool) string {
 	if b {
 		return "yes"
@@ -111,6 +118,7 @@
 	return "no"
 }
 
+// members lists the roster.
 func (s *Session) members(ctx context.Context) (Result, error) {
 	roster, err := s.currentRoster(ctx)
 	if err != nil {
@@ -125,6 +133,7 @@
 	return t, nil
 }
 
+// memberState returns the word for a member's state on the roster.
 func memberState(m ownership.Member) string {
 	switch {
 	case !m.IsListed():
@@ -136,14 +145,14 @@
 	}
 }
 
-// inspected is a member with what it says of itself.
+// inspected is a member with its answer to an inspection, or the error of the call.
 type inspected struct {
 	member   ownership.Member
 	response *peerpb.InspectResponse
 	err      error
 }
 
-// inspect asks the listed agents, a bounded number at a time.
+// inspect asks all listed agents for their state, maxInspections at the same time.
 func (s *Session) inspect(ctx context.Context) ([]inspected, error) {
 	roster, err := s.currentRoster(ctx)
 	if err != nil {
@@ -151,13 +160,13 @@
 	}
 	agents := roster.Listed(ownership.RoleAgent)
 	answers := make([]inspected, len(agents))
-	turns := make(chan struct{}, inspectParallel)
+	turns := make(chan struct{}, maxInspections)
 	var group sync.WaitGroup
 	for i, agent := range agents {
 		turns <- struct{}{}
 		group.Go(func() {
 			defer func() { <-turns }()
-			ctx, cancel := context.WithTimeout(ctx, inspectTime)
+			ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 			defer cancel()
 			response, err := s.peers.Inspect(ctx, agent.Address)
 			answers[i] = inspected{member: agent, response: response, err: err}
@@ -167,6 +176,7 @@
 	return answers, nil
 }
 
+// workers lists the workers with their loads.
 func (s *Session) workers(ctx context.Context) (Result, error) {
 	answers, err := s.inspect(ctx)
 	if err != nil {
@@ -184,6 +194,7 @@
 	return t, nil
 }
 
+// workerRow returns the row of a worker whose agent has answered.
 func workerRow(a inspected) []string {
 	load := a.response.GetLoad()
 	queued := uint32(0)
@@ -200,6 +211,7 @@
 	}
 }
 
+// running lists the tasks that run or wait, as their agents report them.
 func (s *Session) running(ctx context.Context, q *showRunning) (Result, error) {
 	answers, err := s.inspect(ctx)
 	if err != nil {
@@ -224,6 +236,7 @@
 	return t, nil
 }
 
+// taskRow returns the row of a running or waiting task.
 func taskRow(worker string, task *peerpb.RunningTask) []string {
 	state := "running"
 	if task.GetQueued() {
--- a/internal/native/operator/result.go
+++ b/internal/native/operator/result.go
@@ -19,11 +19,11 @@
 type Table struct {
 	Columns []string
 	Rows    [][]string
-	// Warnings name the processes that gave no answer.
+	// Warnings are the errors of processes that did not answer, and the names of those whose events are incomplete.
 	Warnings []string
 }
 
-// Committed is the answer to a change that the platform holds.
+// Committed is the answer to a change that the platform has stored.
 type Committed struct {
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
@@ -53,6 +53,7 @@
 	}
 }
 
+// write writes the table with aligned columns, and the warnings below it.
 func (t Table) write(out io.Writer) error {
 	writer := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	writeRow(writer, t.Columns)
@@ -70,6 +71,7 @@
 	return nil
 }
 
+// writeRow writes a row. The writer buffers it; Flush returns the errors of writing.
 func writeRow(out io.Writer, cells []string) {
 	for i, cell := range cells {
 		if i > 0 {
@@ -95,12 +97,13 @@
 	}
 }
 
-// tableJSON is a table for programs: each row names its columns.
+// tableJSON is the JSON form of a table. Each row is an object with the columns as names.
 type tableJSON struct {
 	Rows     []map[string]string `json:"rows"`
 	Warnings []string            `json:"warnings,omitempty"`
 }
 
+// objects returns the table in its JSON form.
 func (t Table) objects() tableJSON {
 	objects := tableJSON{Rows: make([]map[string]string, 0, len(t.Rows)), Warnings: t.Warnings}
 	for _, row := range t.Rows {
--- a/internal/native/operator/session.go
+++ b/internal/native/operator/session.go
@@ -19,7 +19,7 @@
 	"sailhead/internal/native/peer/peerpb"
 )
 
-// Session executes an operator's lines.
+// Session executes an operator's lines. It is safe for concurrent use.
 type Session struct {
 	author        string
 	seeds         []string
@@ -28,13 +28,17 @@
 	roster        keyvalue.Document[ownership.Roster]
 }
 
-// Options are what a session needs to know.
+// Options are the settings of a session.
 type Options struct {
-	Author          string
+	// Author is the operator's name in the history.
+	Author string
+	// Region is the region whose roster the session reads.
 	Region          string
 	PlatformAddress string
+	// PlatformTimeout bounds each call to the platform.
 	PlatformTimeout time.Duration
-	Seeds           []string
+	// Seeds are the addresses of processes that are asked while the platform does not answer.
+	Seeds []string
 }
 
 // NewSession returns a session and a function that closes its connections.
@@ -54,7 +58,7 @@
 	}
 }
 
-// Execute carries out one line.
+// Execute executes one line. It returns a *SyntaxError for a line that it cannot read.
 func (s *Session) Execute(ctx context.Context, text string) (Result, error) {
 	parsed, err := parse(text)
 	if err != nil {
@@ -74,7 +78,7 @@
 	return result, at(text, err)
 }
 
-// at gives a syntax error the line that it points into.
+// at returns a syntax error with the line that it points into, and any other error as it is.
 func at(text string, err error) error {
 	var syntax *SyntaxError
 	if errors.As(err, &syntax) {
@@ -83,7 +87,8 @@
 	return err
 }
 
-// commit writes a change and answers once the platform holds it.
+// commit writes a change and returns once the platform has stored it. The record's id tells it whether a write whose
+// answer was lost has taken effect.
 func (s *Session) commit(ctx context.Context, change configuration.Change, text string) (Result, error) {
 	entry := configuration.Record{ID: uuid.NewString(), Author: s.author, Time: time.Now().UTC(), Line: text}
 	written, revision, err := s.configuration.Update(ctx, func(c configuration.Configuration) (configuration.Configuration, error) {
@@ -102,7 +107,7 @@
 	return Committed{Version: committed.Version, Revision: revision, Change: entry.ID}, nil
 }
 
-// currentRoster returns the roster of the platform, or of a seed while the platform does not answer.
+// currentRoster returns the roster from the platform, or from a seed if the platform does not answer.
 func (s *Session) currentRoster(ctx context.Context) (ownership.Roster, error) {
 	roster, _, err := s.roster.Get(ctx)
 	if err == nil {
@@ -114,7 +119,7 @@
 	return roster, err
 }
 
-// currentConfiguration returns the configuration of the platform, or of a seed.
+// currentConfiguration returns the configuration from the platform, or from a seed if the platform does not answer.
 func (s *Session) currentConfiguration(ctx context.Context) (configuration.Configuration, error) {
 	c, _, err := s.configuration.Get(ctx)
 	if err == nil {
@@ -126,7 +131,7 @@
 	return c, err
 }
 
-// askSeeds reads from the first seed that answers; the failure is returned if none does.
+// askSeeds reads from the first seed that answers. If none does, it returns the failure joined with the seeds' errors.
 func (s *Session) askSeeds(ctx context.Context, failure error, read func(*peerpb.ExchangeResponse) error) error {
 	for _, seed := range s.seeds {
 		response, err := s.peers.Exchange(ctx, seed, &peerpb.ExchangeRequest{ConfigurationVersion: gossip.WholeDocument})
--- a/internal/native/operator/timeline.go
+++ b/internal/native/operator/timeline.go
@@ -13,7 +13,7 @@
 	"sailhead/internal/native/peer/peerpb"
 )
 
-// TimelineQuery selects events over all processes.
+// TimelineQuery selects events of all processes. An empty field selects all.
 type TimelineQuery struct {
 	Submission string
 	Worker     string
@@ -21,7 +21,7 @@
 	Until      time.Time
 }
 
-// Timeline merges the events of all listed processes in the order of their clocks.
+// Timeline returns the events of all listed processes, ordered by the clocks of the processes, which may differ.
 func (s *Session) Timeline(ctx context.Context, query TimelineQuery) (Result, error) {
 	roster, err := s.currentRoster(ctx)
 	if err != nil {
@@ -57,12 +57,14 @@
 	return t, nil
 }
 
+// timelineOf returns the events of one process.
 func (s *Session) timelineOf(ctx context.Context, address string, request *peerpb.TimelineRequest) (*peerpb.TimelineResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, inspectTime)
+	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
 	return s.peers.Timeline(ctx, address, request)
 }
 
+// eventRow returns the row of an event.
 func eventRow(e *peerpb.Event) []string {
 	task := ""
 	if e.GetTask() >= 0 {
