--- a/internal/native/daemon/owner_service.go
+++ b/internal/native/daemon/owner_service.go
@@ -19,9 +19,6 @@
 // ownerService serves the entries and the owners that leave.
 type ownerService struct{ duty *ownerDuty }
 
-// stateUnknown is the state of a submission that the owner does not know.
-const stateUnknown = "unknown"
-
 // Submit offers a submission to the owner and waits for its response.
 func (s *ownerService) Submit(ctx context.Context, request *peerpb.SubmitRequest) (*peerpb.SubmitResponse, error) {
 	d := s.duty
@@ -43,7 +40,7 @@
 
 // State returns the answer to a submission, or whether the owner knows it.
 func (s *ownerService) State(_ context.Context, request *peerpb.StateRequest) (*peerpb.StateResponse, error) {
-	response := &peerpb.StateResponse{State: stateUnknown}
+	response := &peerpb.StateResponse{State: peer.StateUnknown}
 	s.duty.runInLoop(func(o *owner.Owner) {
 		answer, underWay := o.Table().Lookup(model.Key(request.GetKey()))
 		response.Answer = peer.AnswerToWire(answer)
--- a/internal/native/peer/client.go
+++ b/internal/native/peer/client.go
@@ -207,8 +207,13 @@
 	return answer, false, err
 }
 
-// StateRunning is the state of a submission that has no answer yet.
-const StateRunning = "running"
+// The states in the answer to a query of a submission's state.
+const (
+	// StateRunning is the state of a submission that has no answer yet.
+	StateRunning = "running"
+	// StateUnknown is any other state: the answer is set, or the owner does not know the submission.
+	StateUnknown = "unknown"
+)
 
 // HandRecords sends an heir its part of the submission table of a leaving owner.
 func (c *Client) HandRecords(ctx context.Context, to ownership.Member, from ownership.MemberID, epoch uint64, records []ownership.Record) error {
--- a/internal/native/peer/peerpb/peer.twirp.go
+++ b/internal/native/peer/peerpb/peer.twirp.go
@@ -33,13 +33,13 @@
 
 // Owner is served by agents to entries.
 type Owner interface {
-	// Submit hands a submission to its owner and waits for the final answer.
+	// Submit offers a submission to its owner and waits for the final answer.
 	Submit(context.Context, *SubmitRequest) (*SubmitResponse, error)
 
-	// State tells what the owner knows of a submission.
+	// State returns the state of a submission at the owner.
 	State(context.Context, *StateRequest) (*StateResponse, error)
 
-	// TakeRecords accepts the submission table of a leaving owner.
+	// TakeRecords accepts the records of a leaving owner.
 	TakeRecords(context.Context, *TakeRecordsRequest) (*Empty, error)
 }
 
@@ -1092,7 +1092,7 @@
 	// Relay forwards a submission on behalf of an entry that may not do so itself.
 	Relay(context.Context, *RelayRequest) (*RelayResponse, error)
 
-	// Fence asks for the promise to send a key to no other owner.
+	// Fence requests the promise to send a key to no other owner.
 	Fence(context.Context, *FenceRequest) (*FenceResponse, error)
 
 	// TakeBindings accepts the bindings of a leaving entry.
@@ -2148,7 +2148,7 @@
 	// Start queues a task and waits for its outcome.
 	Start(context.Context, *StartRequest) (*TaskResponse, error)
 
-	// Report fences a task that never arrived, and waits for the outcome of one that did.
+	// Report waits for the outcome of a task that has arrived, and refuses one that has not from now on.
 	Report(context.Context, *ReportRequest) (*TaskResponse, error)
 }
 
@@ -2921,7 +2921,7 @@
 
 // Gossip is served by every process.
 type Gossip interface {
-	// Exchange swaps the roster, the configuration and loads; the higher version wins.
+	// Exchange exchanges the roster, the configuration and loads. The higher version wins.
 	Exchange(context.Context, *ExchangeRequest) (*ExchangeResponse, error)
 }
 
@@ -3417,7 +3417,7 @@
 
 // Inspector is served by every process to operators.
 type Inspector interface {
-	// Inspect tells the state of the process.
+	// Inspect returns the state of the process.
 	Inspect(context.Context, *Empty) (*InspectResponse, error)
 
 	// Timeline returns the recorded events that match.
--- a/internal/native/systemtest/failure_test.go
+++ b/internal/native/systemtest/failure_test.go
@@ -348,7 +348,7 @@
 	if status != http.StatusServiceUnavailable || !strings.Contains(text, `"status":"not_run"`) || !strings.Contains(text, "retry_after_ms") {
 		t.Errorf("got %d %s", status, text)
 	}
-	// A team over its quota is told so.
+	// A team over its quota is refused.
 	s.operate("set team dyfrdwy quota 1")
 	s.await("the quota is used up", func() bool {
 		status, _ := submitText(t, s.entries[0], `{"submission":"`+string(newJob(t, 1).key)+`","service":"refunds","kind":"eligibility","team":"dyfrdwy","tasks":[`+strings.Repeat(`1,`, 79)+`1]}`)
--- a/internal/native/systemtest/load_test.go
+++ b/internal/native/systemtest/load_test.go
@@ -29,20 +29,20 @@
 	} `json:"results"`
 }
 
-// payload is a task that can be told from every other.
+// payload is the payload of a task, different for each task.
 type payload struct {
 	Submission    model.Key `json:"submission"`
 	Index         int       `json:"index"`
 	ServiceMillis int       `json:"service_ms"`
 }
 
-// job is one submission with all answers that callers got for it.
+// job is one submission with all answers that its callers received.
 type job struct {
 	key   model.Key
 	tasks int
 	mu    sync.Mutex
 	final []answer
-	// lost counts the requests without an answer, of which the caller knows nothing.
+	// lost counts the requests without an answer.
 	lost int
 }
 
@@ -54,14 +54,24 @@
 	return &job{key: key, tasks: tasks}
 }
 
+// jobBody is the body of POST /v1/jobs.
+type jobBody struct {
+	Submission model.Key `json:"submission"`
+	Service    string    `json:"service"`
+	Kind       string    `json:"kind"`
+	Team       string    `json:"team"`
+	Tasks      []payload `json:"tasks"`
+}
+
 func (j *job) body() []byte {
 	tasks := make([]payload, j.tasks)
 	for i := range tasks {
 		tasks[i] = payload{Submission: j.key, Index: i, ServiceMillis: 30 + i%5*10}
 	}
-	data, _ := json.Marshal(map[string]any{
-		"submission": j.key, "service": "refunds", "kind": "issuance", "team": "dyfrdwy", "tasks": tasks,
-	})
+	data, err := json.Marshal(jobBody{Submission: j.key, Service: "refunds", Kind: "issuance", Team: "dyfrdwy", Tasks: tasks})
+	if err != nil {
+		panic(err)
+	}
 	return data
 }
 
@@ -85,13 +95,13 @@
 	return a, nil
 }
 
-// load submits jobs until it is stopped; now and then a caller believes an answer lost and submits
-// again through another entry.
+// load submits jobs until it is stopped. Some callers submit a job a second time, through any entry, before the first
+// answer comes.
 type load struct {
 	system *system
 	mu     sync.Mutex
 	jobs   []*job
-	// trouble is when the latest first answer came that was not complete.
+	// trouble is the time of the latest first answer that was not complete.
 	trouble time.Time
 	done    atomic.Bool
 	group   sync.WaitGroup
@@ -141,7 +151,7 @@
 	return l.system.entries[rand.IntN(len(l.system.entries))]
 }
 
-// answered waits until so many more jobs are complete.
+// answered waits until the given number of further jobs is complete.
 func (l *load) answered(more int) {
 	l.system.t.Helper()
 	target := l.complete() + more
--- a/internal/native/systemtest/pairs_test.go
+++ b/internal/native/systemtest/pairs_test.go
@@ -13,14 +13,14 @@
 	"sailhead/internal/native/platformstandin"
 )
 
-// fault is something that goes wrong, and how it ends.
+// fault is a failure that a test begins and ends.
 type fault struct {
 	name  string
 	begin func(s *system)
 	end   func(s *system)
 }
 
-// replaceEntry takes an entry away from the callers, as the balancer does.
+// replaceEntry directs the callers of one entry to another, as the balancer does.
 func (s *system) replaceEntry(i int, with *process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 
 func nothing(*system) {}
 
-// faults lists what is tried alone and in pairs; each touches other processes than the others.
+// faults lists the faults that are tested alone and in pairs. Each affects other processes than the others.
 func faults() []fault {
 	return []fault{
 		{"agent killed and restarted", func(s *system) {
--- a/internal/native/systemtest/process_test.go
+++ b/internal/native/systemtest/process_test.go
@@ -1,7 +1,9 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package systemtest runs the binary as separate processes and makes them fail.
+// Package systemtest tests sailhead's own interface with the binary as separate processes, which it kills, freezes and
+// stops. process_test.go starts the processes, load_test.go makes the load and checks what must always hold: no task
+// starts twice, and no answer contradicts the starts at the backend servers.
 package systemtest
 
 import (
@@ -40,8 +42,8 @@
 	os.Exit(code)
 }
 
-// patience bounds every wait for something that must happen; passing tests never come near it.
-const patience = 60 * time.Second
+// awaitTimeout bounds every wait for something that must happen. Passing tests never come near it.
+const awaitTimeout = 60 * time.Second
 
 // stopTimeout is the longest planned stop by default.
 const stopTimeout = 30 * time.Second
@@ -51,7 +53,7 @@
 	t       *testing.T
 	name    string
 	command *exec.Cmd
-	// address is where callers, or a stand-in's clients, reach it; peers is for other processes.
+	// address is where callers, or the clients of a stand-in, connect; peers is where other processes do.
 	address string
 	peers   string
 	mu      sync.Mutex
@@ -64,7 +66,7 @@
 	peersPattern   = regexp.MustCompile(`peers=(\S+)`)
 )
 
-// start runs a daemon with the settings and waits for its line with the addresses.
+// start starts a process with the settings and waits for its log line with the addresses.
 func start(t *testing.T, role string, settings map[string]any) *process {
 	t.Helper()
 	settings["role"] = role
@@ -107,7 +109,7 @@
 		p.peers = firstMatch(peersPattern, line)
 	case err := <-p.exited:
 		t.Fatalf("%s did not start: %v\n%s", p.name, err, p.output())
-	case <-time.After(patience):
+	case <-time.After(awaitTimeout):
 		t.Fatalf("%s did not start:\n%s", p.name, p.output())
 	}
 	return p
@@ -133,6 +135,7 @@
 	}
 }
 
+// kill sends SIGKILL. Errors are ignored: the process may have ended.
 func (p *process) kill() {
 	_ = p.command.Process.Signal(syscall.SIGCONT)
 	_ = p.command.Process.Kill()
@@ -144,7 +147,7 @@
 	<-p.exited
 }
 
-// stop stops the process as planned and checks that it ended well.
+// stop performs a planned stop and checks that the process ended without an error.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -153,7 +156,7 @@
 		if err != nil {
 			p.t.Errorf("%s: %v\n%s", p.name, err, p.output())
 		}
-	case <-time.After(patience):
+	case <-time.After(awaitTimeout):
 		p.t.Fatalf("%s did not stop:\n%s", p.name, p.output())
 	}
 }
@@ -172,7 +175,7 @@
 
 const loopback = "127.0.0.1:0"
 
-// startSystem starts so many workers and entries, configures them and waits until they know each other.
+// startSystem starts the given numbers of workers and entries, configures them and waits until they know each other.
 func startSystem(t *testing.T, workers, entries int) *system {
 	t.Helper()
 	s := &system{t: t}
@@ -232,15 +235,15 @@
 	return true
 }
 
-// await waits for a condition that must come to hold.
+// await polls a condition until it holds, and fails the test after awaitTimeout.
 func (s *system) await(what string, isTrue func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if isTrue() {
 			return
 		}
 	}
-	s.t.Fatalf("waited in vain until %s", what)
+	s.t.Fatalf("not true after %s: %s", awaitTimeout, what)
 }
 
 // command runs a command of the binary for an operator and returns its output.
@@ -250,7 +253,7 @@
 	return string(out), err
 }
 
-// operatorSettings writes the settings of the operators' commands.
+// operatorSettings writes the settings file of the operators' commands and returns its path.
 func (s *system) operatorSettings() string {
 	file := filepath.Join(s.t.TempDir(), "operator.json")
 	text := fmt.Sprintf(`{"role": "operator", "name": "ada", "platform_address": %q, "seeds": [%q]}`, s.platform.address, s.entries[0].peers)
@@ -260,6 +263,7 @@
 	return file
 }
 
+// operate runs an operator's line that must succeed.
 func (s *system) operate(line string) string {
 	s.t.Helper()
 	out, err := s.command(append([]string{"operate"}, strings.Fields(line)...)...)
@@ -296,7 +300,7 @@
 	return rows
 }
 
-// post sends a body to a stand-in.
+// send sends a JSON body to a stand-in.
 func (s *system) send(method, address, path string, body any) {
 	s.t.Helper()
 	data, err := json.Marshal(body)
@@ -322,7 +326,7 @@
 	s.send(http.MethodPost, s.platform.address, platformstandin.PathFaults, faults)
 }
 
-// starts returns how often each task started, from the backend stand-ins' own records.
+// starts returns the number of starts of each task, as the backend stand-ins counted them.
 func (s *system) starts() map[backendstandin.Start]int {
 	s.t.Helper()
 	total := make(map[backendstandin.Start]int)
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,14 +1,14 @@
 /* SPDX-License-Identifier: MIT
  *
- * Two operators change the configuration at the same moment; replies are lost, two nodes gossip,
- * one of them restarts, the platform has outages.
- * Holds: each change takes effect once, none is lost, a node that serves never goes back, and one
- * that restarts does not serve behind a version that was in force on every node.
+ * The configuration: two operators change it at the same moment, answers of the platform are lost, two nodes
+ * exchange versions by gossip, one of them restarts, and the platform has outages.
+ * Asserted: each change takes effect once and none is lost; a node that serves never returns to a lower version; a node
+ * that has restarted does not serve under a lower version than one that was in force on every node.
  *
  * Rules and their mutants:
  *   NOCAS     a write compares the revision that was read
- *   NOID      after a lost reply the operator looks for the change before writing it again
- *   ANYVER    a node takes only a higher version
+ *   NOID      after a lost answer the operator checks for the change before writing it again
+ *   ANYVER    a node accepts only a higher version
  *   NOLEARN   a node reads the platform before it serves
  */
 #define N 2
@@ -22,7 +22,8 @@
 bool serving[N];
 byte in_force;             /* the highest version that every node has had */
 
-inline note() {
+/* update_in_force: a version is in force once every node serves and has it or a higher one. */
+inline update_in_force() {
   if
   :: serving[0] && serving[1] && node[0] <= node[1] && node[0] > in_force -> in_force = node[0]
   :: serving[0] && serving[1] && node[1] < node[0] && node[1] > in_force -> in_force = node[1]
@@ -30,8 +31,10 @@
   fi
 }
 
-inline take(i, v) { assert(!serving[i] || v >= node[i]); node[i] = v }
+/* accept: a node uses a version from now on. */
+inline accept(i, v) { assert(!serving[i] || v >= node[i]); node[i] = v }
 
+/* check: a node that serves has at least the version in force. */
 inline check(i) { assert(!serving[i] || node[i] >= in_force) }
 
 proctype Operator(byte o) {
@@ -59,7 +62,7 @@
           assert(!committed[1 - o] || contents[1 - o] > 0);
           if
           :: committed[o] = true; break
-          :: skip                                   /* the reply is lost */
+          :: skip                                   /* the answer is lost */
           fi
        :: else -> skip                              /* conflict or outage */
        fi }
@@ -79,16 +82,16 @@
 proctype Node(byte i) {
   byte restarts = 0;
   do
-  :: atomic { !down && !serving[i] && version >= node[i] -> node[i] = version; serving[i] = true; note(); check(i) }
+  :: atomic { !down && !serving[i] && version >= node[i] -> node[i] = version; serving[i] = true; update_in_force(); check(i) }
 #ifdef NOLEARN
-  :: atomic { !serving[i] -> serving[i] = true; note(); check(i) }
+  :: atomic { !serving[i] -> serving[i] = true; update_in_force(); check(i) }
 #endif
 #ifdef ANYVER
-  :: atomic { serving[i] && serving[1 - i] -> take(i, node[1 - i]); note(); check(i) }
+  :: atomic { serving[i] && serving[1 - i] -> accept(i, node[1 - i]); update_in_force(); check(i) }
 #else
-  :: atomic { node[1 - i] > node[i] -> take(i, node[1 - i]); note(); check(i) }
+  :: atomic { node[1 - i] > node[i] -> accept(i, node[1 - i]); update_in_force(); check(i) }
 #endif
-  :: atomic { !down && serving[i] && version > node[i] -> take(i, version); note(); check(i) }
+  :: atomic { !down && serving[i] && version > node[i] -> accept(i, version); update_in_force(); check(i) }
   :: atomic { i == 0 && restarts < 1 -> restarts++; node[0] = 0; serving[0] = false }
   :: timeout -> break
   od
