--- a/internal/native/daemon/cost_test.go
+++ b/internal/native/daemon/cost_test.go
@@ -22,14 +22,14 @@
 
 const loopback = settings.Address("127.0.0.1:0")
 
-// fleet is a platform with agents and entries in this process.
+// fleet is a platform with agents and entries in the process of the benchmark.
 type fleet struct {
 	platform string
 	agents   []*Agent
 	entries  []*Entry
 }
 
-// configuringLines set up the service of the benchmarks.
+// configuringLines configure the service of the benchmarks.
 var configuringLines = []string{"create service s", "set kind k of s expected 1ms deadline 5s", "set team t quota 0"}
 
 // knows reports whether every node has the configuration's version and the whole roster.
@@ -48,7 +48,7 @@
 	return true
 }
 
-// newFleet starts so many agents and entries and waits until they know each other.
+// newFleet starts the given numbers of agents and entries and waits until they know each other.
 func newFleet(b *testing.B, agents, entries int) *fleet {
 	b.Helper()
 	_, address, stopPlatform, err := platformstandin.NewServer(string(loopback))
@@ -103,7 +103,7 @@
 			return
 		}
 	}
-	b.Fatal("the fleet does not know itself")
+	b.Fatal("the nodes do not know each other after two minutes")
 }
 
 func processorTime(b *testing.B) time.Duration {
--- a/internal/native/daemon/links_test.go
+++ b/internal/native/daemon/links_test.go
@@ -29,7 +29,8 @@
 	"sailhead/internal/timeline"
 )
 
-// mesh is a few agents on in-memory links that cut, lose, delay and repeat what they carry, in a time bubble.
+// mesh is a few agents that are connected by links in memory, which refuse, lose, delay and repeat calls. It runs in the
+// fake time of synctest.
 type mesh struct {
 	mu     sync.Mutex
 	random *rand.Rand
@@ -39,6 +40,7 @@
 	faults float64
 }
 
+// meshAgent is the two duties of an agent.
 type meshAgent struct {
 	owner *ownerDuty
 	guard *guardDuty
@@ -49,7 +51,7 @@
 	errLost = errors.New("the connection broke")
 )
 
-// newMesh starts agents that know each other and one configuration.
+// newMesh starts three agents that know each other and one configuration.
 func newMesh(t *testing.T, seed uint64, faults float64) *mesh {
 	m := &mesh{random: rand.New(rand.NewPCG(seed, 0)), agents: make(map[ownership.MemberID]*meshAgent), starts: make(map[model.TaskID]int), faults: faults}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -93,7 +95,7 @@
 	return a
 }
 
-// run stands for the backend servers and counts the starts.
+// run is the backend server of all agents. It counts the starts.
 func (m *mesh) run(_ context.Context, task guard.Task) model.Outcome {
 	m.mu.Lock()
 	m.starts[task.ID]++
@@ -103,7 +105,7 @@
 	return model.TaskDone{Result: []byte(fmt.Sprint(task.ID.Index)), ServiceTime: took}
 }
 
-// draw decides what a link does with a call.
+// draw returns the fault of the next call, or -1 for none, and its delay.
 func (m *mesh) draw() (fault int, delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,8 +116,8 @@
 	return m.random.IntN(5), delay
 }
 
-// carry takes a call over a faulty link.
-func (m *mesh) carry(ctx context.Context, to ownership.Member, call func(context.Context, *guardDuty) (model.Outcome, error)) (model.Outcome, model.Load, error) {
+// call makes a call over a faulty link.
+func (m *mesh) call(ctx context.Context, to ownership.Member, call func(context.Context, *guardDuty) (model.Outcome, error)) (model.Outcome, model.Load, error) {
 	g := m.agents[to.ID].guard
 	fault, delay := m.draw()
 	time.Sleep(delay)
@@ -128,7 +130,7 @@
 		go func() { _, _ = call(ctx, g) }()
 		time.Sleep(time.Duration(delay) * 40)
 		return nil, model.Load{}, errLost
-	case 3: // the request comes late, after the sender has given up on it
+	case 3: // the request arrives after the sender has stopped waiting
 		go func() {
 			time.Sleep(time.Duration(delay) * 100)
 			_, _ = call(context.WithoutCancel(ctx), g)
@@ -141,14 +143,14 @@
 	return outcome, g.load(), err
 }
 
-// Start carries a start.
+// Start starts a task over a faulty link.
 func (m *mesh) Start(ctx context.Context, to ownership.Member, task guard.Task) (model.Outcome, model.Load, error) {
-	return m.carry(ctx, to, func(ctx context.Context, g *guardDuty) (model.Outcome, error) { return g.start(ctx, task) })
+	return m.call(ctx, to, func(ctx context.Context, g *guardDuty) (model.Outcome, error) { return g.start(ctx, task) })
 }
 
-// Report carries a report.
+// Report reports a task over a faulty link.
 func (m *mesh) Report(ctx context.Context, to ownership.Member, asked guard.ReportAsked, _ ownership.MemberID) (model.Outcome, model.Load, error) {
-	return m.carry(ctx, to, func(ctx context.Context, g *guardDuty) (model.Outcome, error) {
+	return m.call(ctx, to, func(ctx context.Context, g *guardDuty) (model.Outcome, error) {
 		return g.postAndWait(ctx, asked.ID, asked)
 	})
 }
@@ -170,7 +172,7 @@
 	return answered.Answer
 }
 
-// TestFaultyLinksStartNothingTwice runs jobs over links of which a third of the calls go wrong.
+// TestFaultyLinksStartNothingTwice runs jobs over links on which a third of the calls fail.
 func TestFaultyLinksStartNothingTwice(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
@@ -189,7 +191,7 @@
 				})
 			}
 			group.Wait()
-			// What comes late comes now.
+			// Calls that are delayed arrive within this time.
 			time.Sleep(10 * time.Second)
 			m.mu.Lock()
 			defer m.mu.Unlock()
--- a/internal/native/systemtest/failure_test.go
+++ b/internal/native/systemtest/failure_test.go
@@ -4,7 +4,6 @@
 package systemtest
 
 import (
-	"io"
 	"net/http"
 	"os"
 	"os/exec"
@@ -23,11 +22,9 @@
 	t.Parallel()
 	s := startSystem(t, 2, 2)
 	for _, p := range append(append([]*process{}, s.agents...), s.entries...) {
-		answer, err := http.Get("http://" + p.peers + "/debug/vars")
-		if err != nil || answer.StatusCode != http.StatusOK {
-			t.Fatalf("%s: %v, %v", p.name, answer, err)
+		if status, text, err := get(p.peers, "/debug/vars"); err != nil || status != http.StatusOK {
+			t.Fatalf("%s: got %d %s, %v", p.name, status, text, err)
 		}
-		_ = answer.Body.Close()
 	}
 	j := newJob(t, 20)
 	first, err := j.submit(s.entries[0])
@@ -39,9 +36,8 @@
 		t.Errorf("got %+v, %v", again, err)
 	}
 	s.check(j, s.starts())
-	response, err := http.Get("http://" + s.entries[1].address + "/v1/jobs/" + string(j.key))
-	if err != nil || response.StatusCode != http.StatusOK {
-		t.Errorf("the state: %v, %v", response, err)
+	if status, text, err := get(s.entries[1].address, "/v1/jobs/"+string(j.key)); err != nil || status != http.StatusOK {
+		t.Errorf("the state: got %d %s, %v", status, text, err)
 	}
 	out, err := s.command("timeline", "--submission", string(j.key))
 	if err != nil {
@@ -217,13 +213,8 @@
 		kind := "kind-" + string(rune('a'+i))
 		s.operate("set kind " + kind + " of refunds expected 50ms")
 		s.await("the entry has the change", func() bool {
-			answer, err := http.Get("http://" + s.entries[0].address + "/debug/vars")
-			if err != nil {
-				return false
-			}
-			defer func() { _ = answer.Body.Close() }()
-			text, err := io.ReadAll(answer.Body)
-			return err == nil && strings.Contains(string(text), `"configuration_version": `+strconv.Itoa(5+i))
+			_, text, err := get(s.entries[0].address, "/debug/vars")
+			return err == nil && strings.Contains(text, `"configuration_version": `+strconv.Itoa(5+i))
 		})
 		status, text := submitText(t, s.entries[0], `{"submission":"`+string(newJob(t, 1).key)+`","service":"refunds","kind":"`+kind+`","team":"dyfrdwy","tasks":[1]}`)
 		if status != http.StatusOK {
@@ -310,12 +301,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(response.Body)
+	status, text, err := read(response)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return response.StatusCode, string(text)
+	return status, text
 }
 
 func TestWrongJobsNameTheFieldAndRunNothing(t *testing.T) {
@@ -368,13 +358,8 @@
 	if rows := s.rows("show running on worker-0", "submission", "long"); len(rows) > 2 {
 		t.Errorf("got %v", rows)
 	}
-	response, err := http.Get("http://" + s.entries[0].address + "/v1/jobs/long")
-	if err != nil {
-		t.Fatal(err)
-	}
-	state, err := io.ReadAll(response.Body)
-	_ = response.Body.Close()
-	if err != nil || !strings.Contains(string(state), `"status":"running"`) {
+	_, state, err := get(s.entries[0].address, "/v1/jobs/long")
+	if err != nil || !strings.Contains(state, `"status":"running"`) {
 		t.Errorf("got %s, %v", state, err)
 	}
 	if text := <-done; !strings.Contains(text, `"status":"complete"`) {
--- a/internal/native/systemtest/process_test.go
+++ b/internal/native/systemtest/process_test.go
@@ -11,6 +11,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net/http"
 	"os"
 	"os/exec"
@@ -223,12 +224,7 @@
 
 func (s *system) allReady() bool {
 	for _, entry := range s.entries {
-		answer, err := http.Get("http://" + entry.address + "/readyz")
-		if err != nil {
-			return false
-		}
-		_ = answer.Body.Close()
-		if answer.StatusCode != http.StatusOK {
+		if status, _, err := get(entry.address, "/readyz"); err != nil || status != http.StatusOK {
 			return false
 		}
 	}
@@ -300,6 +296,22 @@
 	return rows
 }
 
+// get returns the status and body of a page.
+func get(address, path string) (status int, text string, err error) {
+	response, err := http.Get("http://" + address + path)
+	if err != nil {
+		return 0, "", err
+	}
+	return read(response)
+}
+
+// read reads a response to its end and closes it.
+func read(response *http.Response) (status int, text string, err error) {
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(body), err
+}
+
 // send sends a JSON body to a stand-in.
 func (s *system) send(method, address, path string, body any) {
 	s.t.Helper()
@@ -331,15 +343,14 @@
 	s.t.Helper()
 	total := make(map[backendstandin.Start]int)
 	for _, b := range s.backends {
-		answer, err := http.Get("http://" + b.address + backendstandin.PathStarts)
+		_, text, err := get(b.address, backendstandin.PathStarts)
 		if err != nil {
 			s.t.Fatal(err)
 		}
 		var counts []backendstandin.Count
-		if err := json.NewDecoder(answer.Body).Decode(&counts); err != nil {
+		if err := json.Unmarshal([]byte(text), &counts); err != nil {
 			s.t.Fatal(err)
 		}
-		_ = answer.Body.Close()
 		for _, c := range counts {
 			total[c.Start] += c.Times
 		}
