--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -50,7 +50,7 @@
 
 // refusalReason returns why a job is refused on arrival, or "" if it is accepted.
 //
-// Inputs: the number of jobs under way, durable ones included, against Limits.Jobs; the time of the shutdown; the
+// Inputs: the number of jobs under way, durable ones included, and Limits.Jobs; the time of the shutdown, if any; the
 // objective of the job.
 //
 // Rule: a job is refused if Limits.Jobs are under way, or if the process ends before the job's objective.
@@ -71,8 +71,9 @@
 }
 
 const (
-	// maxWaitShare is the part of a job's slack for which it may wait; see refuseAt. The slack is the time between the
-	// expected time of its longest chain of steps and its objective. Measured as part of the rule; other values were not.
+	// maxWaitShare is the part, 0 to 1, of a job's slack for which it may wait; see refuseAt. The slack is the time
+	// between the expected time of its longest chain of steps and its objective. Measured as part of the rule; other
+	// values were not.
 	maxWaitShare = 0.8
 	// minWaitDivisor sets the shortest wait of a job, a quarter of its objective; see refuseAt. Not measured since
 	// maxWaitShare was added.
@@ -81,12 +82,12 @@
 
 // refuseAt returns when a job is refused if none of its tasks was placed.
 //
-// Inputs: the arrival, the objective, and the expected time of the longest chain of steps.
+// Inputs: the job's arrival, its objective, and the expected time of its longest chain of steps.
 //
 // Rule: the job waits for maxWaitShare of its slack, but at least for its objective divided by minWaitDivisor.
 //
-// Reason: a job that begins later can hardly be done within its objective, and its caller may retry after a refusal. The
-// shortest wait is for jobs with little slack.
+// Reason: a job that begins later can hardly be done within its objective, and its caller may retry after a refusal.
+// The shortest wait is for jobs with little slack.
 //
 // Measured: commit 53fbdfd, against a quarter of the objective alone. Score of vtf-bokning 0.926 before and after, of
 // dyfrdwy-prod 0.920 and 0.923; refused on scale-2 0.025 before and 0.021 after, 0.027 and 0.018. As a whole within
@@ -102,11 +103,12 @@
 
 // expiresAt returns when a job expires. A job that is not answered by then is ended.
 //
-// Inputs: the arrival and the objective.
+// Inputs: the job's arrival and its objective.
 //
 // Rule: a job expires expiryFactor objectives after its arrival.
 //
-// Reason: the answer is useless to the caller by then, and its tasks take resources from jobs that can still be in time.
+// Reason: the answer is useless to the caller by then, and its tasks take resources from jobs that can still be in
+// time.
 //
 // Measured: no; the factor is as old as the package (commit e4a4995).
 func (j *job) expiresAt() time.Time {
--- a/internal/dispatch/decision.go
+++ b/internal/dispatch/decision.go
@@ -22,11 +22,11 @@
 }
 
 // withRun returns the decision with the run that it is about.
-func (n DecisionMade) withRun(task string, run uint32, agent AgentID) DecisionMade {
-	n.Task = task
-	n.Run = run
-	n.Agent = agent
-	return n
+func (m DecisionMade) withRun(task string, run uint32, agent AgentID) DecisionMade {
+	m.Task = task
+	m.Run = run
+	m.Agent = agent
+	return m
 }
 
 // decisionMade returns a decision about the job.
@@ -62,14 +62,14 @@
 // DecisionAnswered reports that the job was answered.
 type DecisionAnswered struct {
 	Answer Answer
-	// Late is nil if the answer came within the job's objective, or if nothing of the job ran.
+	// Late is nil if the answer came within the job's objective, and for NotRun.
 	Late *LateAnswer
 }
 
 // LateAnswer explains an answer that came after the job's objective.
 type LateAnswer struct {
 	Objective time.Duration
-	// Slowest are the tasks that ended last, unfinished ones first.
+	// Slowest lists the few tasks that ended last, unfinished ones first.
 	Slowest []TaskProgress
 }
 
@@ -105,7 +105,7 @@
 // DecisionWorker reports that an agent described its worker.
 type DecisionWorker struct{ ID string }
 
-// DecisionAccepts reports that an agent began or stopped to accept tasks.
+// DecisionAccepts reports that an agent began or ceased to accept tasks.
 type DecisionAccepts struct{ Accepts bool }
 
 func (DecisionAccepted) isDecision()          {}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -30,8 +30,8 @@
 	knownAgents int
 	// candidates is a buffer that plans reuse.
 	candidates []candidate
-	// endingRuns holds, by the task's name, the runs of dropped jobs that may not have ended. A job submitted again under the same
-	// id waits for them.
+	// endingRuns holds, by the task's name, the runs of dropped jobs that may not have ended. A job submitted again
+	// under the same id waits for them.
 	endingRuns map[string]endingRun
 	// callerTimes is used to detect late retries.
 	callerTimes callerTimes
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -9,10 +9,10 @@
 //
 // # State
 //
-// The dispatcher owns the jobs that were submitted to this entry, in memory only, and the runs of the durable jobs whose
-// shards this entry owns. Package durable records durable jobs in the store and answers their callers. For each agent
-// the dispatcher keeps the latest description of its worker, the latest load, and the starts that the load does not
-// count yet.
+// The dispatcher owns the jobs that were submitted to this entry, in memory only, and the runs of the durable jobs
+// whose shards this entry owns. Package durable records durable jobs in the store and answers their callers. For each
+// agent the dispatcher keeps the latest description of its worker, the latest load, and the starts that the load does
+// not count yet.
 //
 // # Dependencies
 //
--- a/internal/dispatch/effect.go
+++ b/internal/dispatch/effect.go
@@ -44,7 +44,8 @@
 	Name  string
 }
 
-// RecordEnd passes the end of a run of a durable job to package durable, which records it before the worker may forget it.
+// RecordEnd passes the end of a run of a durable job to package durable, which records it before the worker may forget
+// it.
 type RecordEnd struct {
 	Agent  AgentID
 	Update runner.Update
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -93,8 +93,8 @@
 	Update runner.Update
 }
 
-// ShutdownRequested reports that the process ends at a given time. Jobs that would end later are refused, and
-// no task of a durable job is placed.
+// ShutdownRequested reports that the process ends at a given time. Jobs that would end later are refused, and no task
+// of a durable job is placed.
 type ShutdownRequested struct{ Until time.Time }
 
 // Ticked lets the dispatcher apply the rules that depend on time alone. It comes at short intervals.
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -18,8 +18,8 @@
 //
 // Rule: the slowness is below maxSlowness and the failure rate below maxFailureRate.
 //
-// Reason: an unhealthy worker gets tasks only if no healthy one has resources (plan.go), its runs may be moved (move.go),
-// and failed runs on it count less (attempts.go).
+// Reason: an unhealthy worker gets tasks only if no healthy one has resources (plan.go), its runs may be moved
+// (move.go), and failed runs on it count less (attempts.go).
 //
 // Measured: commit bba2d87, with the moving of runs and other changes: score of vtf-bokning 0.926 before and after, of
 // dyfrdwy-prod 0.924 and 0.920.
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -39,8 +39,8 @@
 	// plus Target.
 	Stretch float64
 	Target  time.Duration
-	// Timeout is the operators' time limit of a job, zero if there is none. Jobs are not ended by it; retry.go takes it as
-	// the shortest time that a caller waits.
+	// Timeout is the operators' time limit of a job, zero if there is none. Jobs are not ended by it; retry.go takes it
+	// as the shortest time that a caller waits.
 	Timeout time.Duration
 }
 
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -18,8 +18,8 @@
 	maxMoves = 2
 )
 
-// moveStuckRuns stops stuck runs for which a healthy worker has free resources. Once the agent reports the stop, the task
-// is placed again, on another worker if possible.
+// moveStuckRuns stops stuck runs for which a healthy worker has free resources. Once the agent reports the stop, the
+// task is placed again, on another worker if possible.
 func (d *Dispatcher) moveStuckRuns(now time.Time) {
 	if !d.hasUnhealthyWorker() {
 		return
--- a/internal/dispatch/order.go
+++ b/internal/dispatch/order.go
@@ -18,7 +18,8 @@
 //
 // Reason: the runs of a begun job are lost work unless the rest of the job is done. For late retries see retry.go.
 //
-// Measured: begun jobs first came with placing a part of a job (commit 6a302a7, see place.go); the rest is not measured.
+// Measured: begun jobs first came with placing a part of a job (commit 6a302a7, see place.go); the rest is not
+// measured.
 func compareJobs(a, b *job) int {
 	return cmp.Or(
 		compareTrueFirst(a.everSent, b.everSent),
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -42,14 +42,14 @@
 
 // plan chooses workers for as many of the tasks as there are resources. The tasks are in the order of their steps.
 //
-// Inputs: the needs, labels and bounds of the steps; the free resources, labels and health of the workers that accept
-// tasks of the service.
+// Inputs: the needs (worker.Resources), labels and bounds of the steps; the free resources, labels and health of the
+// workers that accept tasks of the service.
 //
 // Rule: of the workers with the label of the step, those with the highest rank; of these the one that can run the most
 // of the remaining tasks of the step. Ties are broken at random.
 //
-// Reason: a job suffers from each of its workers that fails, so it is placed on as few as possible. With
-// the random order, entries do not all choose the same worker.
+// Reason: a job suffers from each of its workers that fails, so it is placed on as few as possible. With the random
+// order, entries do not all choose the same worker.
 //
 // Measured: the number of workers and the ranks are not measured. Free resources from exact loads: trials with loads
 // every 200 ms scored 0.21 and 0.26 less (docs/DESIGN-platform.md).
--- a/internal/dispatch/rerun.go
+++ b/internal/dispatch/rerun.go
@@ -13,8 +13,8 @@
 // time. Package timing derives the delays and names their measurements.
 //
 // While a session lasts, agents report how each run ended, and the task runs again at once. After the session nothing
-// is reported, but the run has ended after timing.RerunDelay. Durable jobs wait longer, because the run
-// may have been done and the agent or worker may still report it.
+// is reported, but the run has ended after timing.RerunDelay. Durable jobs wait longer, because the run may have been
+// done and the agent or worker may still report it.
 
 // rerunDelay returns how long after the loss of its agent a task of the job does not run again.
 //
@@ -57,7 +57,8 @@
 //
 // Reason: an agent that accepts tasks has heard from its worker and reports ends that are not recorded at once.
 //
-// Measured: soak seed 803 (commit 135f3ef): a new session alone does not suffice, as the agent may not reach its worker.
+// Measured: soak seed 803 (commit 135f3ef): a new session alone does not suffice, as the agent may not reach its
+// worker.
 func (d *Dispatcher) agentRecovered(now time.Time, id AgentID) {
 	earliest := now.Add(timing.RerunDelay)
 	for _, j := range d.jobs {
@@ -72,8 +73,9 @@
 	}
 }
 
-// recoveryWait is how long after job.recoveredAt the tasks of a recovered durable job wait for agents without a session.
-// It is the wait for an agent that was lost here, without timing.RerunDelay: the earlier owner's runs have ended already.
+// recoveryWait is how long after job.recoveredAt the tasks of a recovered durable job wait for agents without a
+// session. It is the wait for an agent that was lost here, without timing.RerunDelay: the earlier owner's runs have
+// ended already.
 const recoveryWait = timing.DurableRerunDelay - timing.RerunDelay
 
 // awaitsAgents reports whether a durable job that an earlier owner started waits for agents to open a session.
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -12,16 +12,16 @@
 // A retry is late if the job would have expired (expiresAt) before it could be done, counted from the first submission.
 
 const (
-	// retryShare is the part of the usual remaining time below which a caller may have submitted its job before. Not
-	// varied in a run.
+	// retryShare is the part, 0 to 1, of the usual remaining time below which a caller may have submitted its job
+	// before. Not varied in a run.
 	retryShare = 0.6
-	// shorterWeight is the weight of a caller with less remaining time than usual in the usual time. It is small because
-	// the first callers after a restart are those that retry (commit bba2d87). Not varied in a run.
+	// shorterWeight is the weight, 0 to 1, of a caller with less remaining time than usual in the usual time. It is
+	// small because the first callers after a restart are those that retry (commit bba2d87). Not varied in a run.
 	shorterWeight = 0.02
-	// longerWeight is the weight of a caller with more remaining time than usual. Not varied in a run.
+	// longerWeight is the weight, 0 to 1, of a caller with more remaining time than usual. Not varied in a run.
 	longerWeight = 0.3
-	// lateRetryFreeShare is the part of the CPU of a service's workers that must be free before a late retry is placed.
-	// Not varied in a run.
+	// lateRetryFreeShare is the part, 0 to 1, of the CPU of a service's workers that must be free before a late retry
+	// is placed. Not varied in a run.
 	lateRetryFreeShare = 0.25
 )
 
@@ -37,9 +37,9 @@
 // Rule: a job is a late retry if its remaining time is below retryShare of the usual one and below the kind's timeout,
 // and the time since its first submission plus its chain exceeds its expiry time.
 //
-// Reason: after an outage all callers retry at once, with jobs that expire soon; these kept the
-// workers busy for a second. They are not refused, because a late answer is better than none while there are free resources. The
-// condition on the timeout is there because callers give short jobs less time than long ones.
+// Reason: after an outage all callers retry at once, with jobs that expire soon; these kept the workers busy for a
+// second. They are not refused, because a late answer is better than none while there are free resources. The condition
+// on the timeout is there because callers give short jobs less time than long ones.
 //
 // Measured: commit 3187fd2, score of vtf-bokning 0.916 before and 0.926 after, of dyfrdwy-prod 0.924 both (with two
 // other changes). The condition on the timeout: commit 7cc3d7a, mean of the days with trouble of dyfrdwy-prod-grown
@@ -80,7 +80,7 @@
 
 // hasSpareCapacity reports whether enough resources are free to place a late retry.
 //
-// Inputs: the free CPU and the capacity of the workers that accept tasks of the service.
+// Inputs: the free CPU and the CPU capacity, in thousandths of a core, of the workers that accept tasks of the service.
 //
 // Rule: at least lateRetryFreeShare of the CPU is free.
 //
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -28,33 +28,33 @@
 const ageResolution = time.Millisecond / 10
 
 // log counts a decision and logs it.
-func (e *Entry) log(n dispatch.DecisionMade) {
-	e.count(n)
-	fields := []any{"msg", messageOf(n.Decision)}
-	if n.Job != "" {
-		fields = append(fields, "job", n.Job, "kind", n.Kind, "age", n.Age.Round(ageResolution))
+func (e *Entry) log(m dispatch.DecisionMade) {
+	e.count(m)
+	fields := []any{"msg", messageOf(m.Decision)}
+	if m.Job != "" {
+		fields = append(fields, "job", m.Job, "kind", m.Kind, "age", m.Age.Round(ageResolution))
 	}
-	if n.Task != "" {
-		fields = append(fields, "task", n.Task, "run", n.Run)
+	if m.Task != "" {
+		fields = append(fields, "task", m.Task, "run", m.Run)
 	}
-	if n.Agent != "" {
-		fields = append(fields, "agent", string(n.Agent))
+	if m.Agent != "" {
+		fields = append(fields, "agent", string(m.Agent))
 	}
 	// A line that cannot be written has nowhere else to go.
-	_ = e.loggerFor(n.Decision).Log(append(fields, "detail", detailOf(n.Decision))...)
+	_ = e.loggerFor(m.Decision).Log(append(fields, "detail", detailOf(m.Decision))...)
 }
 
 // count updates the metrics of a decision.
-func (e *Entry) count(n dispatch.DecisionMade) {
-	switch decision := n.Decision.(type) {
+func (e *Entry) count(m dispatch.DecisionMade) {
+	switch decision := m.Decision.(type) {
 	case dispatch.DecisionAnswered:
 		outcome := outcomeOf(decision.Answer)
 		e.metrics.Add(metric.JobsPrefix+outcome, 1)
-		e.answerTimes.Record(n.Kind+" "+outcome, n.Age)
+		e.answerTimes.Record(m.Kind+" "+outcome, m.Age)
 	case dispatch.DecisionPlaced:
 		e.metrics.Add(metric.TasksStarted, 1)
-		if n.Run == 1 {
-			e.queueTimes.Record(n.Kind, n.Age)
+		if m.Run == 1 {
+			e.queueTimes.Record(m.Kind, m.Age)
 		}
 	case dispatch.DecisionEnded:
 		e.metrics.Add(metric.TasksEnded, 1)
