--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -23,7 +23,7 @@
 //
 // Measured: commit 6a302a7, against waiting for all tasks: score of vtf-bokning 0.879 before and 0.916 after, of
 // dyfrdwy-prod 0.921 and 0.924. Trial, later jobs with smaller tasks may pass: five loaded days, within noise
-// (docs/DESIGN-platform.md).
+// (docs/DESIGN.md).
 func (d *Dispatcher) place(now time.Time) {
 	if len(d.agents) == 0 {
 		return
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -52,7 +52,7 @@
 // order, entries do not all choose the same worker.
 //
 // Measured: the number of workers and the ranks are not measured. Free resources from exact loads: trials with loads
-// every 200 ms scored 0.21 and 0.26 less (docs/DESIGN-platform.md).
+// every 200 ms scored 0.21 and 0.26 less (docs/DESIGN.md).
 func (d *Dispatcher) plan(j *job, tasks []*task) []placement {
 	d.gatherCandidates(j.Kind.Service)
 	p := planner{job: j, candidates: d.candidates}
--- a/internal/entry/dependencies.go
+++ b/internal/entry/dependencies.go
@@ -11,14 +11,15 @@
 	"github.com/go-kit/log/level"
 )
 
-// maxDependencies is how many dependencies are told apart.
+// maxDependencies bounds the lost dependencies that are remembered; the loss of further ones is not logged. It is above
+// the number of entries that the target size needs. Not measured.
 const maxDependencies = 256
 
 // dependencies logs once when a dependency is lost and once when it is regained.
 type dependencies struct {
 	mu     sync.Mutex
 	logger log.Logger
-	// lost holds since when each lost dependency has not answered.
+	// lost holds when the first call to each lost dependency failed, by its name.
 	lost map[string]time.Time
 }
 
@@ -26,7 +27,7 @@
 	return &dependencies{logger: logger, lost: make(map[string]time.Time)}
 }
 
-// observe takes in the outcome of a call to a dependency.
+// observe records whether a call to a dependency succeeded.
 func (d *dependencies) observe(name string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// publishCounts lets other goroutines read the counts of the state machines.
+// publishCounts stores the counts of the state machines where other goroutines read them.
 func (e *Entry) publishCounts() {
 	jobs, _, agents := e.decider.dispatcher.Counts()
 	isJobsChanged := e.jobs.Swap(int64(jobs)) != int64(jobs)
@@ -94,7 +94,7 @@
 	e.ownedShards.Store(int64(shards))
 }
 
-// publishOwners lets other goroutines read who owns which shard.
+// publishOwners stores the owners of the shards where other goroutines read them.
 func (e *Entry) publishOwners() {
 	coordinator := e.decider.coordinator
 	if !coordinator.IsActive() {
--- a/internal/entry/shards.go
+++ b/internal/entry/shards.go
@@ -65,8 +65,8 @@
 	return v.addresses, true
 }
 
-// mayHaveJobs reports whether there may be durable jobs. It is true if the store was not heard of for
-// timing.StoreUpdateLifetime: others may have taken the first one meanwhile.
+// mayHaveJobs reports whether there may be durable jobs. It is true if the store has not answered for
+// timing.StoreUpdateLifetime: another entry may have accepted the first one meanwhile.
 func (v *shardView) mayHaveJobs(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -85,7 +85,7 @@
 	// ownerWait is how long a request waits for its shard to have an owner before the caller is sent away with a time to
 	// retry. Not measured.
 	ownerWait = 700 * time.Millisecond
-	// ownerPollInterval is the time between two looks at who owns the shard.
+	// ownerPollInterval is the time between two reads of the owner.
 	ownerPollInterval = 40 * time.Millisecond
 	// durableTimeout bounds the wait for an answer of the coordinator, which may have to wait for a write to the store.
 	// It is that of durable.Client, so that a forwarded request fails neither earlier nor later than a local one.
--- a/internal/entry/shutdown.go
+++ b/internal/entry/shutdown.go
@@ -16,15 +16,15 @@
 // A planned stop of an entry, in order, all within Settings.StopTimeout:
 //
 //  1. The readiness page says no, and jobs that would not end before the stop are refused (BeginShutdown).
-//  2. The entry goes on serving for balancerDelay: the balancer may still send connections. It waits on while
-//     connections come, as the balancer sends them to the entry if no other entry is ready.
+//  2. The entry keeps serving for balancerDelay, since the balancer may still send connections, and after that while
+//     connections arrive: if no other entry is ready the balancer keeps sending them.
 //  3. It stops listening, and waits until no job is under way and all shards are released.
 //  4. Requests that are still open get answerTimeout to be answered.
 const (
 	// stopMargin is kept of StopTimeout for the end of the process. Not measured.
 	stopMargin = 400 * time.Millisecond
-	// releaseMargin is how long before the end of the stop the shards are released at the latest, so that the commit
-	// that says so is written. Not measured.
+	// releaseMargin is how long before the end of the stop the shards are released at the latest, so that the
+	// commit that records the release is written. Not measured.
 	releaseMargin = 1200 * time.Millisecond
 	// balancerDelay is how long after BeginShutdown the balancer may send new connections. It asks every second, and an
 	// answer may be late. Measured: closing the listener sooner left connections refused (commit bba2d87).
