--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// This file decides when a job that is not durable is refused or ended early. These rules apply, each with its inputs and
-// reason:
+// This file decides when a job that is not durable is refused or ended early. The following rules apply; each function states
+// its inputs, its rule and the reason for it:
 //
 //	on arrival           evacuatedReason   NotRun (evacuation.go)
 //	                     containedReason   NotRun (containment.go)
 //	                     ownRefusalReason  handed over (handover.go) or NotRun
 //	                     refuseByForecast  NotRun (forecast.go)
-//	nothing was placed   isRefusalDue      NotRun (forecast.go)
-//	later                expiresAt         Interrupted, or NotRun if nothing can have run
+//	no task placed       isRefusalDue      NotRun (forecast.go)
+//	later                expiresAt         Interrupted, or NotRun if no task can have run
 //
-// A NotRun carries the time after which the caller may retry (return.go). None of the rules applies to durable jobs:
+// A NotRun answer includes the time after which the caller may retry (return.go). None of these rules applies to durable jobs:
 // package durable admits them, and they have no time limit.
 
-// submit admits a job or refuses it. A job that is under way already gets another waiter; but one that was handed over does not wait for the
-// entry from which it comes back, as each would wait for the other.
+// submit admits or refuses a job. If the job is already in progress, the caller is added to its waiters. A job that was handed
+// over and comes back from another entry is refused instead: each of the two would wait for the other.
 func (d *Dispatcher) submit(now time.Time, e Submitted) {
 	earlier, isKnown := d.jobs[e.Job.ID]
 	handedOver, isHandedOver := d.handedOver[e.Job.ID]
@@ -35,7 +35,7 @@
 		handedOver.waiters = append(handedOver.waiters, e.Waiter)
 		d.emit(handedOver.decisionMade(now, DecisionJoined{}))
 	case isKnown && earlier.isDurable:
-		answer := NotRun{Reason: "the job is kept already", RetryAfter: d.soon()}
+		answer := NotRun{Reason: "a durable job with this ID is in progress", RetryAfter: d.soon()}
 		d.emit(Reply{Waiters: []Waiter{e.Waiter}, Answer: answer})
 	case isKnown:
 		earlier.waiters = append(earlier.waiters, e.Waiter)
@@ -69,7 +69,7 @@
 	}
 }
 
-// acceptHere accepts a job, or refuses it for the entry's own reason, if there is one.
+// acceptHere accepts a job at this entry. If refusal is not empty, the job is refused with that reason instead.
 func (d *Dispatcher) acceptHere(now time.Time, j *job, refusal string) {
 	if refusal != "" {
 		d.finish(now, j, NotRun{Reason: refusal, RetryAfter: d.soon(), IsLocal: true})
@@ -84,37 +84,37 @@
 	d.giveUpIfDue(now, j)
 }
 
-// maxWaitShare is the part, 0 to 1, of a job's slack for which it may wait; see refuseAt. The slack is the time between the expected time
-// of its longest chain of steps and its objective.
+// maxWaitShare is the fraction of its slack that a job may wait; see refuseAt. The slack is the objective minus the expected
+// duration of the job's longest chain of steps.
 const maxWaitShare = 0.6
 
-// refuseAt returns when a job is refused at the latest if none of its tasks was placed.
+// refuseAt returns the latest time at which a job is refused if none of its tasks has been placed.
 //
-// Inputs: the job's arrival, its objective, and the expected time of its longest chain of steps.
+// Inputs: the job's arrival time, its objective, and the expected duration of its longest chain of steps.
 //
 // Rule: the job waits for maxWaitShare of its slack.
 //
-// Reason: a job that begins later can hardly be done within its objective, and makes those behind it late too. Its caller
-// may retry after a refusal.
+// Reason: a job that starts later is unlikely to finish within its objective and delays the jobs queued behind it. After a
+// refusal its caller may retry.
 func (j *job) refuseAt() time.Time {
 	return j.waitsUntil(maxWaitShare)
 }
 
-// waitsUntil returns when a job has waited for a part, 0 to 1, of its slack.
+// waitsUntil returns the time at which a job has waited for the given fraction, 0 to 1, of its slack.
 func (j *job) waitsUntil(share float64) time.Time {
 	slack := j.objective - j.chain()
 	return j.arrived.Add(time.Duration(share * float64(slack)))
 }
 
-// expiresAt returns when a job expires. A job that is not answered by then is ended.
+// expiresAt returns the time at which a job is ended if it has not been answered.
 //
-// Inputs: the job's arrival, its caller's remaining time, its objective.
+// Inputs: the job's arrival time, its caller's remaining time, its objective.
 //
-// Rule: a job expires when its caller's remaining time is over. If the caller did not say how long it waits, the job
-// expires when an answer would be useless (uselessAfter).
+// Rule: a job expires when its caller's remaining time has elapsed. If the caller gave no deadline, the job expires once an
+// answer would be useless (uselessAfter).
 //
-// Reason: an answer that comes late still serves a caller that waits for it, while one that is interrupted may have run
-// and has to be repeated.
+// Reason: a late answer is still of use to a caller that waits for it, while an interrupted job may have run and has to be
+// repeated.
 func (j *job) expiresAt() time.Time {
 	if j.RemainingTime > 0 {
 		return j.arrived.Add(j.RemainingTime)
@@ -122,16 +122,16 @@
 	return j.arrived.Add(j.uselessAfter())
 }
 
-// uselessFactor is the age, in objectives, at which an answer is useless. Source: the users' rules, by which an answer
-// after three objectives counts as none.
+// uselessFactor is the age, as a multiple of the objective, at which an answer is useless. By the users' rules an answer after
+// three objectives counts as no answer.
 const uselessFactor = 3
 
-// uselessAfter returns the age at which an answer to the job is taken for useless.
+// uselessAfter returns the age of the job from which an answer is considered useless.
 func (j *job) uselessAfter() time.Duration {
 	return uselessFactor * j.objective
 }
 
-// expire applies isRefusalDue and expiresAt, and ends all jobs that are not durable when the process ends.
+// expire applies isRefusalDue and expiresAt, and ends all non-durable jobs when the process shuts down.
 func (d *Dispatcher) expire(now time.Time) {
 	d.expireHandedOver(now)
 	for _, j := range slices.Clone(d.waiting) {
@@ -151,7 +151,7 @@
 	}
 }
 
-// abandon ends a job that will not be done.
+// abandon ends a job without completing it: as Interrupted if it may have begun, as NotRun otherwise.
 func (d *Dispatcher) abandon(now time.Time, j *job, reason string) {
 	if j.mayHaveBegun() {
 		d.finish(now, j, Interrupted{Reason: reason})
@@ -160,8 +160,8 @@
 	d.finish(now, j, NotRun{Reason: reason, RetryAfter: d.retryAfter(now, j)})
 }
 
-// describeCapacity returns the figures behind the refusal of a job that could not be placed: CPU in thousandths of a
-// core, numbers of agents and jobs, and the caller's remaining time. Accepting and free count the agents that may run the job.
+// describeCapacity formats the figures behind a refusal for lack of capacity: CPU in thousandths of a core, the numbers of
+// agents and jobs, and the caller's remaining time. accepting and free_cpu cover only the agents that may run the job.
 func (d *Dispatcher) describeCapacity(j *job) string {
 	var accepting, evacuated, free int
 	for _, a := range d.agents {
--- a/internal/dispatch/congestion.go
+++ b/internal/dispatch/congestion.go
@@ -8,54 +8,57 @@
 	"time"
 )
 
-// This file limits the jobs that an entry accepts when its own VM cannot keep up.
+// This file limits the jobs that an entry accepts while its own VM cannot keep up.
 //
-// Inputs: for each start, the time until a load counts it; the tasks that wait for a worker or for the load that counts their start.
+// Inputs: for each start, the time until a load report of the agent counts it; the number of tasks that wait for a worker or
+// for the load report that counts their start.
 //
-// Rule: over windows of congestionWindow, and of minCounted starts, the shortest of these times is taken. If it is longer than maxCountTime
-// the entry is congested, and accepts a job only while fewer tasks wait than it gets counted in maxCountTime. After a window in which it is
-// not congested it lets more of them wait, and any number once half of that is not used.
+// Rule: the minimum of these times is taken over windows of at least congestionWindow and minCounted starts. If it exceeds
+// maxCountTime the entry is congested, and accepts a job only while fewer tasks wait than are counted within maxCountTime. After
+// each window without congestion the limit grows, and it is removed once less than half of it is used.
 //
-// Reason: messages wait in the queues of the VM's link and processor. A single agent that is slow does not show in the shortest time,
-// an entry that is late makes all agents look late. One that accepts all jobs then serves hardly any: their pings, offers and
-// loads are late too, so that sessions end, starts are rejected, and both cost further messages. What the VM carries is not known
-// beforehand, but the loads that come back show it.
+// Reason: under overload, messages queue at the VM's network link and processor. A single slow agent does not affect the
+// minimum, while a slow entry delays the reports of all agents. An entry that then accepts every job completes hardly any of
+// them: its pings, offers and loads are late too, so sessions end and starts are rejected, and both cost further messages. The
+// capacity of the VM is not known in advance, but the delay of the load reports shows when it is exceeded.
 //
-// The jobs on their way to other entries are limited by the same rule, with a congestion of their own (handover.go): a hand-over counts as a
-// start, and the report that the other entry has taken it as the load.
+// The jobs being handed over to other entries are limited by the same rule with a congestion value of their own (handover.go): a
+// hand-over corresponds to a start, and the report that the other entry has taken the job corresponds to the load report.
 
 const (
-	// congestionWindow is the least time over which the shortest time is taken, and minCounted the least number of starts.
+	// congestionWindow is the minimum length of a window, and minCounted the minimum number of counted starts in it.
 	congestionWindow = 50 * time.Millisecond
 	minCounted       = 8
-	// maxCountTime is the shortest time from a start to the load that counts it from which an entry is congested: a message each way and
-	// the time between two loads take less than half.
+	// maxCountTime is the minimum time from a start to the load report that counts it above which an entry is congested. A message
+	// in each direction and the interval between two loads take less than half of it.
 	maxCountTime = 40 * time.Millisecond
-	// countRateTime is the time over which the rate of counted starts is averaged.
+	// countRateTime is the time constant for averaging the rate of counted starts.
 	countRateTime = 300 * time.Millisecond
-	// minWaiting is the least limit of the tasks that wait, and limitGrowth by how many times it grows with each window that is not congested.
+	// minWaiting is the lowest limit on waiting tasks, and limitGrowth the factor by which the limit grows after each window
+	// without congestion.
 	minWaiting  = 8
 	limitGrowth = 1.015
 )
 
-// congestion is what an entry knows of its own lateness. The zero value is that of one that keeps up.
+// congestion tracks whether an entry keeps up with its messages. The zero value is an entry that does.
 type congestion struct {
-	// began is when the window began, counted its number of counted starts, shortest the shortest time of one.
+	// began is the start of the window, counted the number of starts counted in it, and shortest the shortest time of one.
 	began    time.Time
 	counted  int
 	shortest time.Duration
-	// recent is the number of counted starts, of which older ones count less, as of countedAt.
+	// recent is the exponentially decayed number of counted starts, as of countedAt.
 	recent    float64
 	countedAt time.Time
-	// limit is how many tasks may wait when another job is accepted, zero for any number. mostWaiting is how many have waited in the window
-	// when a job came.
+	// limit is the number of waiting tasks below which another job is accepted, zero for no limit. mostWaiting is the largest
+	// number of waiting tasks seen in the window on arrival of a job.
 	limit       float64
 	mostWaiting int
-	// handOver is the part of the jobs that is handed over to other entries; see handover.go.
+	// handOver is the share of the jobs that is handed over to other entries; see handover.go.
 	handOver handOverShare
 }
 
-// startCounted notes that a load counts a start that was sent at a time, or that another entry has taken a job that was.
+// startCounted records that a load report counts a start sent at the given time, or that another entry has taken a job handed
+// over at that time.
 func (c *congestion) startCounted(now, sent time.Time) {
 	c.decay(now)
 	c.recent++
@@ -70,7 +73,7 @@
 	c.began, c.counted, c.mostWaiting = now, 0, 0
 }
 
-// adjust sets the limit at the end of a window that lasted for some time.
+// adjust updates the limit and the hand-over share at the end of a window of the given length.
 func (c *congestion) adjust(lasted time.Duration) {
 	c.handOver = c.handOver.after(c.shortest, lasted)
 	switch {
@@ -83,7 +86,7 @@
 	}
 }
 
-// decay lets the earlier starts count less.
+// decay reduces the weight of earlier starts by the time that has passed.
 func (c *congestion) decay(now time.Time) {
 	if !c.countedAt.IsZero() {
 		c.recent *= math.Exp(-float64(now.Sub(c.countedAt)) / float64(countRateTime))
@@ -91,19 +94,19 @@
 	c.countedAt = now
 }
 
-// isLate reports whether the entry is late, or nearly so.
+// isLate reports whether the entry is congested or hands over jobs because it is close to that.
 func (c *congestion) isLate() bool { return c.isLimited() || c.handOver > 0 }
 
-// isLimited reports whether the number of tasks that wait matters.
+// isLimited reports whether the number of waiting tasks is limited.
 func (c *congestion) isLimited() bool { return c.limit > 0 }
 
-// mayAccept reports whether another job may be accepted while so many tasks wait.
+// mayAccept reports whether another job may be accepted while the given number of tasks wait.
 func (c *congestion) mayAccept(waiting int) bool {
 	c.mostWaiting = max(c.mostWaiting, waiting)
 	return float64(waiting) < c.limit
 }
 
-// tasksUnderWay returns the number of tasks that wait for a worker or for the load that counts their start.
+// tasksUnderWay returns the number of tasks that wait for a worker or for the load report that counts their start.
 func (d *Dispatcher) tasksUnderWay() int {
 	count := 0
 	for _, a := range d.ordered {
--- a/internal/dispatch/containment.go
+++ b/internal/dispatch/containment.go
@@ -12,53 +12,54 @@
 	"sailhead/internal/runner"
 )
 
-// This file decides what becomes of a kind of job of which several jobs have crashed workers. What is known of the kinds is in
-// kinds.go.
+// This file decides how a kind is treated of which several jobs have crashed workers. The state of each kind is in kinds.go.
 //
 // Inputs: the jobs that were given up because workers crashed under them (crash.go), by kind; the registered agents.
 //
-// Rule: a kind with at most maxKindShare of the work is contained once as many of its jobs were given up within evidenceTime as
-// there are agents, divided by agentsPerEvidence, two at least. Its jobs run on some agents only, and no other jobs run there: as
-// many as its share of the work that callers submit, the first ones of a ranking by kind and agent. On a worker nothing is started
-// beside a contained job for some time (runner/containment.go). A crash in that time speaks against the job: unless it is
-// durable, its caller is told at once that it was interrupted, and no second worker is tried. If none of its agents accepts
-// tasks, its jobs are refused at once. The kind is let out after a trial: trialJobs of its jobs done without another crash for
-// evidenceTime, or trialTime without one.
+// Rule: a kind with at most maxKindShare of the work is contained once the number of its jobs that were given up within
+// evidenceTime reaches the number of agents divided by agentsPerEvidence, and at least minEvidence. Its jobs then run on a subset
+// of the agents, and no other jobs run there. The size of the subset corresponds to the kind's share of the submitted work; its
+// members are the first ones of a ranking by kind and agent. For some time after the start of a contained job nothing else is
+// started on its worker (runner/containment.go). A crash in that time is evidence against the job: unless it is durable, its
+// caller is told at once that it was interrupted, and it is not tried on a second worker. If none of the agents of the kind
+// accepts tasks, its jobs are refused at once. Containment ends after trialJobs of its jobs were done without another crash for
+// evidenceTime, or after trialTime without a crash.
 //
-// Reason: each job that crashes its workers takes two of them away for seconds. If they come faster than workers come back,
-// nobody is served, of any kind. Contained, they take the kind's share of the workers only. Every entry hears of every crash with
-// the kinds of the runs, so all decide the same and choose nearly the same agents without asking each other: the smaller choice
-// is part of the larger. An entry that has just started hears from the agents of crashes under contained jobs, which tell that
-// others contain the kind. That a rack loses power is no evidence: it makes suspects, and a job is only given up with a second
-// crash in which it was the latest start. Nor is one job that many callers wait for: jobs count, not requests.
+// Reason: each job that crashes its workers makes two of them unavailable for seconds. If such jobs arrive faster than workers
+// recover, no kind is served. Containment limits the damage to the kind's share of the workers. Every entry learns of every crash
+// with the kinds of the runs, so all entries reach the same decision and choose nearly the same agents without coordination: a
+// smaller subset is contained in a larger one. An entry that has just started learns from crashes under contained jobs, which its
+// agents report, that other entries contain the kind. A rack that loses power is not evidence: it only makes its tasks suspects,
+// and a job is given up only after a second crash in which it was the latest start. Many callers waiting for one job are not
+// evidence either, as jobs are counted and not requests.
 //
-// Cost if the kind is innocent: the kind has no more than its share of the workers for a trial, and others no more than theirs.
-// A worker that crashes by chance within suspectTime after a contained job was started interrupts that job.
+// Cost if the kind is innocent: until containment ends the kind is limited to its share of the workers, and the other kinds to
+// theirs. A worker that crashes by chance within suspectTime after the start of a contained job interrupts that job.
 
 const (
-	// minEvidence is how many jobs of a kind must have been given up at least. One may be a job by itself.
+	// minEvidence is the minimum number of jobs of a kind that must have been given up. A single one may be an exception.
 	minEvidence = 2
-	// agentsPerEvidence is how many agents there are for each job that must have been given up: with two crashes for each of these, two
-	// fifths of the workers are away.
+	// agentsPerEvidence is the number of agents per job that must have been given up: with two crashes for each job, two fifths of
+	// the workers are unavailable by then.
 	agentsPerEvidence = 5
-	// evidenceTime is how long a job that was given up counts for that: about as long as a worker is away after a crash.
+	// evidenceTime is how long a job that was given up counts as recent: about as long as a worker is unavailable after a crash.
 	evidenceTime = 3 * time.Second
-	// trialJobs is how many jobs of a contained kind must have been done here without another crash, for evidenceTime at least, before it
-	// is let out: if one in ten crashes workers, a third of such trials pass by chance, and then it takes as much evidence as before to
-	// contain it again.
+	// trialJobs is the number of jobs of a contained kind that must be done at this entry without another crash, over at least
+	// evidenceTime, before containment ends. If one job in ten crashes workers, a third of such trials succeed by chance, and
+	// containing the kind again then takes as much evidence as before.
 	trialJobs = 10
-	// trialTime is after which time without a crash it is let out in any case: three times as long as a worker is away, as nothing is tried
-	// while all workers of the kind are.
+	// trialTime is the time without a crash after which containment ends in any case. It is three times as long as a worker is
+	// unavailable after a crash, as nothing is tried while all workers of the kind are unavailable.
 	trialTime = 10 * time.Second
-	// minContainedShare and maxContainedShare bound the part, 0 to 1, of the agents to which a contained kind is confined, and the
-	// latter that of all contained kinds together: further ones share the agents of the one before.
+	// minContainedShare and maxContainedShare bound the share of the agents to which a contained kind is confined.
+	// maxContainedShare also bounds the total of all contained kinds: further kinds share the agents of the preceding one.
 	minContainedShare = 0.125
 	maxContainedShare = 0.5
-	// maxKindShare is the share of the work, 0 to 1, above which a kind is not contained: there is too little else to protect.
+	// maxKindShare is the share of the work above which a kind is not contained: too little other work would be protected.
 	maxKindShare = 0.75
-	// arrivalWindow is the time over which the work of each kind is averaged that callers submit.
+	// arrivalWindow is the time constant for averaging the submitted work of each kind.
 	arrivalWindow = 10 * time.Second
-	// minContainedAgents is the smallest number of registered agents with which kinds are contained.
+	// minContainedAgents is the minimum number of registered agents for containment.
 	minContainedAgents = 4
 )
 
@@ -72,14 +73,14 @@
 	return d.containment.isContained(j.Kind.Name)
 }
 
-// agentsRegistered applies which agents are registered.
+// agentsRegistered updates the set of registered agents.
 func (d *Dispatcher) agentsRegistered(now time.Time, e AgentsRegistered) {
 	d.knownAgents, d.chosenAgents = len(e.Agents), e.Chosen
 	d.containment.registered = e.Agents
 	d.chooseContained(now, d.containment.contained())
 }
 
-// chooseContained chooses the agents of the contained kinds anew.
+// chooseContained reassigns the agents of the contained kinds.
 func (d *Dispatcher) chooseContained(now time.Time, kinds []string) {
 	if len(kinds) == 0 && !d.containment.isActive {
 		return
@@ -89,7 +90,7 @@
 	d.agentsChanged()
 }
 
-// mayRunKind reports whether an agent may run a kind, as far as is known here: without a session that is not known.
+// mayRunKind reports whether an agent may run a kind. An agent whose worker is not known yet, as it has no session, may.
 func (d *Dispatcher) mayRunKind(kind string, id AgentID) bool {
 	a, ok := d.agents[id]
 	if !ok || a.record.ID == "" {
@@ -99,8 +100,8 @@
 	return !a.evacuated && (service == "" || a.record.Service == service)
 }
 
-// countForKind records what the crash of a worker under a run says of its kind. A crash may be reported again on a new session, some
-// time after it.
+// countForKind records the crash of a worker under a run as evidence against the kind of the run, if it is any. crashedAt is
+// earlier than now if the crash is reported again on a new session.
 func (d *Dispatcher) countForKind(crashedAt time.Time, run runner.CrashedRun) {
 	if d.limits.NoContainment {
 		return
@@ -110,20 +111,21 @@
 	}
 }
 
-// isEvidence reports whether a single crash speaks against the job of a run: it was contained, and was started last.
+// isEvidence reports whether a single crash is evidence against the job of a run: its kind was contained, nothing was started
+// beside it, and the run was running for certain.
 func isEvidence(run runner.CrashedRun) bool {
 	return run.WasRunning && run.IsIsolated
 }
 
-// interruptIfContained ends a job that is not durable if a single crash speaks against it: it would take a second worker away to
-// be sure. It has not failed, and may be submitted again.
+// interruptIfContained ends a non-durable job as interrupted if a single crash is evidence against it: confirmation would cost a
+// second worker. The job has not failed, and may be submitted again.
 func (d *Dispatcher) interruptIfContained(now time.Time, j *job, run runner.CrashedRun) {
 	if _, isOpen := d.jobs[j.ID]; isOpen && !j.isDurable && isEvidence(run) {
 		d.finish(now, j, Interrupted{Reason: fmt.Sprintf("a worker crashed under task %s, and jobs of its kind crash workers", run.Task)})
 	}
 }
 
-// updateContainment contains the kinds that are due and lets the others out.
+// updateContainment starts and ends the containment of kinds as due.
 func (d *Dispatcher) updateContainment(now time.Time) {
 	d.containment.forgetBefore(now.Add(-trialTime))
 	due := d.containment.due(now)
@@ -152,7 +154,7 @@
 	}
 }
 
-// cancelForbidden cancels the reservations of jobs at agents that may not run them any more, and all of contained jobs.
+// cancelForbidden cancels the reservations of jobs at agents that may no longer run them, and all those of contained jobs.
 func (d *Dispatcher) cancelForbidden() {
 	for _, j := range d.waiting {
 		if d.isContained(j) {
@@ -168,7 +170,7 @@
 	}
 }
 
-// containedReason returns why a contained job is refused on arrival, or "" if an agent of its kind accepts tasks.
+// containedReason returns why a contained job is refused on arrival, or "" if an agent assigned to its kind accepts tasks.
 func (d *Dispatcher) containedReason(j *job) string {
 	if !d.isContained(j) || slices.ContainsFunc(d.ordered, func(a *agent) bool { return d.mayRun(j, a) }) {
 		return ""
--- a/internal/dispatch/crashhistory.go
+++ b/internal/dispatch/crashhistory.go
@@ -11,40 +11,42 @@
 	"sailhead/internal/worker"
 )
 
-// This file tells how many workers crash for other causes than tasks at present, so that crashes under one task may be chance.
+// This file estimates how many workers currently crash for causes other than tasks, in which case several crashes under one task
+// may be a coincidence.
 //
-// Inputs: the crashes of the last historyTime with the tasks that were on the workers, and which of them a task has caused as far as
-// is known; how many agents are registered.
+// Inputs: the crashes of the last historyTime with the tasks that were on the workers, and which of them are known to be caused by
+// a task; the number of registered agents.
 //
-// Rule: a task has caused a crash if crashes under it have one cause (haveOneCause), or if it was contained and the crash speaks against it by
-// itself (isEvidence). A crash is unexplained if settleTime after it no other worker has crashed under any task that was there, and none
-// of these is known to have caused it. Workers crash for other causes if a crash is unexplained, and for many if there are as many as
-// there are agents, divided by agentsPerUnexplained, manyUnexplained at least. In both cases there have to be unexplainedPerCaused times as many
-// of them as there are crashes that tasks have caused.
+// Rule: a crash is caused by a task if the crashes under the task have a common cause (haveOneCause), or if the task was contained
+// and the crash alone is evidence (isEvidence). A crash is unexplained if it is not known to be caused by a task and within
+// settleTime no other worker has crashed under any of its tasks. Workers crash for other causes if any crash is unexplained, and
+// for many other causes if the number of unexplained crashes reaches the number of agents divided by agentsPerUnexplained, and at
+// least manyUnexplained. In both cases there must be at least unexplainedPerCaused unexplained crashes per caused one.
 //
-// Reason: if some of all workers are killed every second, two of them are hit under one task by chance, and now and then at like ages of
-// its runs: the square of that part. Nothing in these two crashes tells them from those that a task causes, but the crashes of other
-// workers do: a task that crashes its workers runs again at once and crashes the next one. Every entry hears of all crashes, with the
-// tasks of all entries. How many workers are killed shows only after a while, so the first one that was counts. Two crashes that may be
-// chance are no known cause: with them the next two would be taken for one sooner.
+// Reason: if a fraction of all workers is killed every second, two of them are hit under the same task by chance with the square
+// of that fraction, and sometimes at about the same age of its runs. These two crashes look the same as those that a task causes,
+// but other crashes help to tell: a task that crashes its workers runs again at once and crashes the next one. Every entry learns
+// of all crashes, with the tasks of all entries. The rate at which workers are killed is known only after a while, so the first
+// unexplained crash already counts. Two crashes that may be a coincidence are not marked as caused: otherwise the next pair would
+// more easily be taken for a cause.
 //
-// Cost: while others are killed, a task that crashes its workers takes a third one away, unless several such tasks are about.
+// Cost: while workers are killed, a task that crashes its workers takes a third one down, unless there are several such tasks.
 
 const (
-	// historyTime is how long crashes are remembered for this.
+	// historyTime is how long crashes are kept for this estimate.
 	historyTime = 10 * time.Second
-	// settleTime is how long after a crash another one must have come if a task caused it: a suspect runs again at once and crashes its
-	// worker within a fraction of a second.
+	// settleTime is the time after a crash within which another one must follow if a task caused it: a suspect runs again at once
+	// and crashes its next worker within a fraction of a second.
 	settleTime = time.Second
-	// agentsPerUnexplained is the largest number of agents for each unexplained crash if these are many. With fewer crashes than that, less than
-	// one worker in a hundred is killed every second, and three of them hardly ever under one task.
+	// agentsPerUnexplained is the number of agents per unexplained crash up to which these are many. With fewer crashes, less than
+	// one worker in a hundred is killed every second, and three of them under one task are very unlikely.
 	agentsPerUnexplained = 10
-	// manyUnexplained is how many there must be at least.
+	// manyUnexplained is the minimum number of unexplained crashes that are many.
 	manyUnexplained = 5
-	// unexplainedPerCaused is how many there must be for each crash that a task has caused: if many tasks crash workers, a third crash of
-	// each makes more jobs late than would be given up by chance.
+	// unexplainedPerCaused is the minimum number of unexplained crashes per crash caused by a task. If many tasks crash workers, a
+	// third crash of each delays more jobs than would be given up by mistake.
 	unexplainedPerCaused = 10
-	// maxHistory bounds the crashes that are remembered.
+	// maxHistory bounds the number of crashes in the history.
 	maxHistory = 256
 )
 
@@ -54,7 +56,7 @@
 	incarnation worker.Incarnation
 	at          time.Time
 	tasks       []string
-	// isShared is set if another worker has crashed under one of the tasks, and isCaused if one of them has caused this crash.
+	// isShared is set if another worker has crashed under one of the tasks, and isCaused if one of the tasks caused this crash.
 	isShared bool
 	isCaused bool
 }
@@ -62,7 +64,7 @@
 // crashHistory holds the crashes of the last historyTime in the order in which they became known.
 type crashHistory struct{ crashes []pastCrash }
 
-// add adds a crash unless it is known.
+// add records a crash unless it is already recorded.
 func (h *crashHistory) add(now time.Time, agent AgentID, crash runner.Crash) {
 	h.forgetBefore(now.Add(-historyTime))
 	if h.find(agent, crash.Incarnation) != nil {
@@ -83,7 +85,7 @@
 	h.crashes = append(h.crashes, added)
 }
 
-// find returns a crash, or nil if it is not remembered.
+// find returns a crash, or nil if it is not in the history.
 func (h *crashHistory) find(agent AgentID, incarnation worker.Incarnation) *pastCrash {
 	isSame := func(c pastCrash) bool { return c.agent == agent && c.incarnation == incarnation }
 	if at := slices.IndexFunc(h.crashes, isSame); at >= 0 {
@@ -92,24 +94,24 @@
 	return nil
 }
 
-// sharesTask reports whether a task was on the workers of both crashes.
+// sharesTask reports whether any task was on the workers of both crashes.
 func (c *pastCrash) sharesTask(other pastCrash) bool {
 	return slices.ContainsFunc(c.tasks, func(task string) bool { return slices.Contains(other.tasks, task) })
 }
 
-// noteCaused notes that a task has caused a crash.
+// noteCaused marks a crash as caused by a task.
 func (h *crashHistory) noteCaused(agent AgentID, incarnation worker.Incarnation) {
 	if c := h.find(agent, incarnation); c != nil {
 		c.isCaused = true
 	}
 }
 
-// forgetBefore removes the crashes from before a time.
+// forgetBefore removes the crashes that occurred before the limit.
 func (h *crashHistory) forgetBefore(limit time.Time) {
 	h.crashes = slices.DeleteFunc(h.crashes, func(c pastCrash) bool { return c.at.Before(limit) })
 }
 
-// otherCauses tells how many workers crash for other causes than tasks.
+// otherCauses is a level of worker crashes with causes other than tasks.
 type otherCauses int
 
 const (
@@ -118,7 +120,7 @@
 	manyOtherCauses
 )
 
-// otherCauses returns how many workers crash for other causes than tasks at present. agents is the number of registered agents.
+// otherCauses returns the current level of worker crashes with causes other than tasks. agents is the number of registered agents.
 func (h *crashHistory) otherCauses(now time.Time, agents int) otherCauses {
 	settled := now.Add(-settleTime)
 	caused, unexplained := 0, 0
