--- a/internal/dispatch/headroom.go
+++ b/internal/dispatch/headroom.go
@@ -11,10 +11,11 @@
 	"sailhead/internal/worker"
 )
 
-// This file applies what agents tell of the room that long tasks leave free for shorter ones. Package runner decides on it (headroom.go).
+// This file applies the headroom that long tasks leave to shorter ones, as reported by the agents. Package runner decides on it
+// (headroom.go).
 
-// room is the time that bounds the tasks for which a service may still have resources, after a job of it has found none: only tasks that
-// take less time may find some.
+// room bounds the duration of the tasks for which a service may still have resources after none were found for one of its jobs:
+// only tasks with a shorter duration may find some.
 type room time.Duration
 
 const (
@@ -22,16 +23,16 @@
 	roomForOthers room = math.MaxInt64
 )
 
-// rooms holds the least room that the jobs of a placement have left until now, by the names of the services.
+// rooms holds, by service name, the smallest room left by the jobs of a placement so far.
 type rooms map[string]room
 
-// isFull reports whether there is no room for a job.
+// isFull reports whether no task of a job is short enough for the room left.
 func (r rooms) isFull(j *job) bool {
 	left, ok := r[j.Kind.Service]
 	return ok && room(j.shortestTask()) >= left
 }
 
-// note notes the room that is left after a job.
+// note records the room that is left after a job.
 func (r rooms) note(j *job, left room) {
 	if earlier, ok := r[j.Kind.Service]; ok {
 		left = min(left, earlier)
@@ -39,7 +40,7 @@
 	r[j.Kind.Service] = left
 }
 
-// shortestTask returns the estimated time of the job's shortest tasks.
+// shortestTask returns the estimated duration of the job's shortest tasks.
 func (j *job) shortestTask() time.Duration {
 	shortest := j.times[0].task
 	for _, step := range j.times {
@@ -48,7 +49,7 @@
 	return shortest
 }
 
-// headroomAt returns what tasks have to leave free at an agent for shorter ones.
+// headroomAt returns the resources that tasks have to leave free at an agent for shorter ones.
 func (d *Dispatcher) headroomAt(a *agent) []shares.Bound {
 	if d.limits.NoShares {
 		return nil
@@ -56,11 +57,11 @@
 	return a.load.Headroom
 }
 
-// mostlyFullShare is the part, 0 to 1, of the agents without room for the longest tasks above which room counts as kept.
+// mostlyFullShare is the share of agents without resources for the longest tasks above which isRoomKept may hold.
 const mostlyFullShare = 0.9
 
-// isRoomKept reports whether next to no agent has room for the longest tasks while some keep room for shorter ones. It is
-// false while the entry does not keep up (congestion.go), as each reservation costs messages.
+// isRoomKept reports whether nearly all agents lack resources for the longest tasks while some keep headroom for shorter ones. It
+// is false while the entry is congested (congestion.go), as each reservation costs messages.
 func (d *Dispatcher) isRoomKept(agents []*agent, needs worker.Resources) bool {
 	full, keeping := 0, 0
 	for _, a := range agents {
--- a/internal/dispatch/kinds.go
+++ b/internal/dispatch/kinds.go
@@ -13,29 +13,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// containment is what is known of the kinds of jobs and of those that are contained. Use newContainment.
+// containment holds the state of all kinds of jobs and the agents of the contained ones. Use newContainment.
 type containment struct {
 	kinds map[string]*kindRecord
-	// registered are all registered agents, with or without a session.
+	// registered lists all registered agents, with or without a session.
 	registered []AgentID
-	// isActive is set while a kind is contained, and reserved are the agents of all that are.
+	// isActive is set while any kind is contained. reserved holds the agents of all contained kinds.
 	isActive bool
 	reserved agentSet
 }
 
-// kindRecord is what is known of one kind.
+// kindRecord is the state of one kind.
 type kindRecord struct {
-	// evidence has when each job was given up, or interrupted while the kind was contained, as a worker crashed under it.
+	// evidence holds, by job, the time of the crash after which the job was given up, or interrupted while the kind was contained.
 	evidence map[string]time.Time
-	// isTold is set while an isolated crash tells that other entries contain the kind.
+	// isTold is set by a crash under an isolated job, which shows that other entries contain the kind.
 	isTold bool
-	// done counts the jobs that were done here since the latest evidence.
+	// done counts the jobs that were done at this entry since the latest evidence.
 	done int
-	// arrivals is the work that callers submitted, over arrivalWindow.
+	// arrivals is the work submitted by callers, averaged over arrivalWindow.
 	arrivals recentWork
-	// service is that of the jobs that callers submitted, empty before the first.
+	// service is the service of the jobs submitted by callers, empty before the first.
 	service string
-	// agents are those to which the kind is confined, nil while it is not contained.
+	// agents holds the agents to which the kind is confined, nil while it is not contained.
 	agents agentSet
 }
 
@@ -46,7 +46,7 @@
 	return containment{kinds: make(map[string]*kindRecord)}
 }
 
-// kind returns the record of a kind, which it creates if there is none.
+// kind returns the record of a kind, creating it if there is none.
 func (c *containment) kind(name string) *kindRecord {
 	k, ok := c.kinds[name]
 	if !ok {
@@ -56,7 +56,7 @@
 	return k
 }
 
-// names returns the names of all kinds for which matches returns true, in order.
+// names returns the sorted names of all kinds for which matches returns true.
 func (c *containment) names(matches func(*kindRecord) bool) []string {
 	var names []string
 	for name, k := range c.kinds {
@@ -68,7 +68,7 @@
 	return names
 }
 
-// contained returns the contained kinds in order.
+// contained returns the sorted names of the contained kinds.
 func (c *containment) contained() []string {
 	return c.names(func(k *kindRecord) bool { return k.agents != nil })
 }
@@ -79,7 +79,7 @@
 	return ok && k.agents != nil
 }
 
-// add records that a worker crashed under a job so that it was given up or interrupted. isIsolated is set if the job was contained.
+// add records that a job was given up or interrupted because a worker crashed under it. isIsolated is set if the job was isolated.
 func (c *containment) add(crashedAt time.Time, kind, job string, isIsolated bool) {
 	if kind == "" {
 		return
@@ -93,21 +93,21 @@
 	k.done = 0
 }
 
-// succeeded counts a job that was done.
+// succeeded counts a job of a contained kind that was done.
 func (c *containment) succeeded(kind string) {
 	if c.isContained(kind) {
 		c.kinds[kind].done++
 	}
 }
 
-// arrived counts the work of a job that a caller submitted.
+// arrived counts the work of a job submitted by a caller.
 func (c *containment) arrived(now time.Time, j *job) {
 	k := c.kind(j.Kind.Name)
 	k.arrivals.add(now, j.work(), arrivalWindow)
 	k.service = j.Kind.Service
 }
 
-// due returns the kinds that are to be contained, in order.
+// due returns the sorted names of the kinds that should be contained.
 func (c *containment) due(now time.Time) []string {
 	if len(c.registered) < minContainedAgents {
 		return nil
@@ -115,7 +115,7 @@
 	return c.names(func(k *kindRecord) bool { return c.isDue(now, k) })
 }
 
-// isDue reports whether a kind is to be contained.
+// isDue reports whether a kind should be contained.
 func (c *containment) isDue(now time.Time, k *kindRecord) bool {
 	recent := k.countSince(now.Add(-evidenceTime))
 	needed := max(minEvidence, (len(c.registered)+agentsPerEvidence-1)/agentsPerEvidence)
@@ -132,7 +132,7 @@
 	}
 }
 
-// countSince returns how many jobs speak against the kind since a time.
+// countSince returns the number of jobs that are evidence against the kind since the limit.
 func (k *kindRecord) countSince(limit time.Time) int {
 	count := 0
 	for _, at := range k.evidence {
@@ -143,17 +143,17 @@
 	return count
 }
 
-// forgetBefore removes the evidence from before a time.
+// forgetBefore removes the evidence from before the limit.
 func (c *containment) forgetBefore(limit time.Time) {
 	for _, k := range c.kinds {
 		maps.DeleteFunc(k.evidence, func(_ string, at time.Time) bool { return at.Before(limit) })
 	}
 }
 
-// shareOf returns the part, 0 to 1, that a kind has of the work that callers submitted lately; 1 if there was none.
+// shareOf returns the share, 0 to 1, of a kind in the work recently submitted by callers, or 1 if there was none.
 func (c *containment) shareOf(now time.Time, k *kindRecord) float64 {
 	var all work
-	// In the order of the names, as the sum depends on the order.
+	// The names are sorted because a floating-point sum depends on the order.
 	for _, name := range slices.Sorted(maps.Keys(c.kinds)) {
 		each := c.kinds[name]
 		each.arrivals.decay(now, arrivalWindow)
@@ -165,13 +165,13 @@
 	return float64(k.arrivals.sum / all)
 }
 
-// size returns to how many of the agents a contained kind is confined.
+// size returns the number of agents, out of the given number, to which a contained kind is confined.
 func (c *containment) size(now time.Time, kind string, agents int) int {
 	share := min(max(c.shareOf(now, c.kind(kind)), minContainedShare), maxContainedShare)
 	return min(max(int(math.Round(share*float64(agents))), 1), agents)
 }
 
-// choose contains the given kinds and no others. mayRun reports whether an agent may run a kind.
+// choose contains exactly the given kinds. mayRun reports whether an agent may run a kind.
 func (c *containment) choose(now time.Time, kinds []string, mayRun func(kind string, id AgentID) bool) {
 	for _, k := range c.kinds {
 		k.agents = nil
@@ -192,7 +192,7 @@
 	}
 }
 
-// rank returns the registered agents in the order in which a kind is confined to them, the same at every entry.
+// rank returns the registered agents in the order in which a kind is confined to them. The order is the same at every entry.
 func (c *containment) rank(kind string) []AgentID {
 	weight := func(id AgentID) uint64 { return xxhash.Sum64String(kind + "/" + string(id)) }
 	ranked := slices.Clone(c.registered)
@@ -200,7 +200,7 @@
 	return ranked
 }
 
-// permits reports whether tasks of a job may run at an agent as far as contained kinds go.
+// permits reports whether containment permits the tasks of a job to run at an agent.
 func (c *containment) permits(j *job, id AgentID) bool {
 	switch {
 	case !c.isActive:
--- a/internal/dispatch/lostsession.go
+++ b/internal/dispatch/lostsession.go
@@ -14,30 +14,31 @@
 
 // This file infers crashes of workers that no agent reports.
 //
-// Inputs: what ran at an agent when its session ended, and the incarnation of its worker; the one that it describes when it is back.
+// Inputs: the runs at an agent and the incarnation of its worker when its session ended; the incarnation that the agent describes
+// when it reconnects.
 //
-// Rule: if it is another one, the earlier one counts as a possible crash under these runs.
+// Rule: if the incarnations differ, the earlier one counts as a possible crash under these runs.
 //
-// Reason: the agent may have died with its worker, or restarted since, and a task that crashes whole VMs would never be given up. Whether
-// the runs were still running is not known.
+// Reason: the agent may have died with its worker, or have restarted since, so it reports no crash, and a task that crashes whole
+// VMs would never be given up. The crash is only possible, as the runs may have ended before.
 
-// lostSession is what ran at an agent when its session ended.
+// lostSession holds the runs at an agent when its session ended.
 type lostSession struct {
-	// incarnation is that of the agent's worker at that time.
+	// incarnation is the incarnation of the agent's worker at that time.
 	incarnation worker.Incarnation
 	runs        []runner.CrashedRun
 	at          time.Time
 }
 
-// rememberLost remembers the runs at an agent whose session has ended, if there are any. Whether its worker has crashed under them
-// may not be reported: the agent may have died with the worker or restarted since. Nor is it known whether they were still running.
+// rememberLost stores the runs at an agent whose session has ended, if there are any. A crash of its worker under them may go
+// unreported, as the agent may have died with the worker or have restarted since. The runs may have ended before the crash.
 func (d *Dispatcher) rememberLost(id AgentID, lost lostSession) {
 	if len(lost.runs) > 0 {
 		d.lostSessions[id] = lost
 	}
 }
 
-// endingRunsAt returns the runs of dropped jobs at an agent in session that have not ended, in the order of their names.
+// endingRunsAt returns the runs of dropped jobs at an agent in session that have not ended, sorted by task name.
 func (d *Dispatcher) endingRunsAt(id AgentID) []runner.CrashedRun {
 	var runs []runner.CrashedRun
 	for _, name := range slices.Sorted(maps.Keys(d.endingRuns)) {
@@ -58,8 +59,8 @@
 	d.workerCrashed(now, a.id, runner.Crash{Incarnation: lost.incarnation, Runs: lost.runs})
 }
 
-// workerHeard forgets what ran at an agent when its session ended, once the agent has heard from the same incarnation of its
-// worker: until then an agent that has restarted may name an incarnation that has ended.
+// workerHeard discards the stored runs of an agent once the agent has heard from the same incarnation of its worker. Until then a
+// restarted agent may describe an incarnation that has ended.
 func (d *Dispatcher) workerHeard(a *agent) {
 	if lost, ok := d.lostSessions[a.id]; ok && lost.incarnation == a.record.Incarnation() {
 		delete(d.lostSessions, a.id)
--- a/internal/dispatch/probe.go
+++ b/internal/dispatch/probe.go
@@ -11,34 +11,35 @@
 	"sailhead/internal/runner"
 )
 
-// This file decides which task shows whether an ejected worker is well again.
+// This file selects the task that tests whether an ejected worker is healthy again.
 //
-// Inputs: the probes that agents offer, the waiting jobs, the attempts and times of their tasks, how often runs of their kinds fail elsewhere.
+// Inputs: the probes that agents offer, the waiting jobs, the attempts and durations of their tasks, the failure rate of their
+// kinds elsewhere.
 //
-// Rule: a probe is kept for runner.ProbeOfferTime, for a task that may fail: its job has another attempt, and is still done within its
-// objective if the run fails half-way or hangs, and another one follows; and it takes ejection.ProbeTime at most. If none has come in half
-// of runner.ProbeOfferTime, a task of any length suffices whose caller is still answered then. Of several the shortest task is taken.
-// Tasks under which a worker has crashed, of contained kinds, of kinds that fail elsewhere and away from their data are left out: their
-// failure would say little of the worker.
+// Rule: a probe is held for runner.ProbeOfferTime, for a task that may fail: its job has another attempt and still meets its
+// objective if the run fails half-way or hangs and another one follows, and the task takes ejection.ProbeTime at most. If no such
+// task arrives within half of runner.ProbeOfferTime, a task of any duration is accepted as long as its caller would still be
+// answered. Among several tasks the shortest is taken. Excluded are tasks under which a worker has crashed, tasks of contained
+// kinds and of kinds that fail elsewhere, and tasks away from their data: their failure would say little about the worker.
 //
-// Reason: a probe is likely to fail, and its job must not be lost by it. Short tasks show soonest how the worker is.
+// Reason: a probe is likely to fail, and its job must not be lost by that. Short tasks give the result soonest.
 
-// heldProbe is a probe that was not used yet.
+// heldProbe is a probe that has not been used yet.
 type heldProbe struct {
 	agent    AgentID
 	offer    runner.Offer
 	received time.Time
 }
 
-// isOver reports whether the probe is given back.
+// isOver reports whether the probe has been held for its maximum time and is returned unused.
 func (p heldProbe) isOver(now time.Time) bool { return now.Sub(p.received) >= runner.ProbeOfferTime }
 
-// isUrgent reports whether a task suffices that is longer than ejection.ProbeTime or makes its job late if it fails.
+// isUrgent reports whether to accept a task that is longer than ejection.ProbeTime or makes its job late if it fails.
 func (p heldProbe) isUrgent(now time.Time) bool {
 	return now.Sub(p.received) >= runner.ProbeOfferTime/2
 }
 
-// probeReceived keeps a probe for a job, or gives it back if this entry does not use any.
+// probeReceived holds a probe for a job, or returns it if ejection is disabled at this entry.
 func (d *Dispatcher) probeReceived(now time.Time, a *agent, offer runner.Offer) {
 	d.probes = append(d.probes, heldProbe{agent: a.id, offer: offer, received: now})
 	if d.limits.NoEjection {
@@ -48,7 +49,7 @@
 	d.isPlaceDue = true
 }
 
-// returnProbe answers a probe, after the start that uses it if there is one.
+// returnProbe answers a probe. If a start uses the probe, it must have been sent before.
 func (d *Dispatcher) returnProbe(p heldProbe) {
 	d.emit(AnswerOffer{Agent: p.agent, Offer: p.offer.ID})
 	d.probes = slices.DeleteFunc(d.probes, func(other heldProbe) bool { return other == p })
@@ -59,7 +60,7 @@
 	d.probes = slices.DeleteFunc(d.probes, func(p heldProbe) bool { return p.agent == id })
 }
 
-// useProbes sends tasks of waiting jobs for the probes that this entry has, and gives back those that are over.
+// useProbes sends tasks of waiting jobs for the held probes, and returns those that have expired.
 func (d *Dispatcher) useProbes(now time.Time) {
 	for _, p := range slices.Clone(d.probes) {
 		a, ok := d.agents[p.agent]
@@ -74,7 +75,7 @@
 	}
 }
 
-// probeTask returns the task that uses a probe, or nil if none suits.
+// probeTask returns the task that uses a probe, or nil if none is suitable.
 func (d *Dispatcher) probeTask(now time.Time, a *agent, p heldProbe) (*job, *task) {
 	var bestJob *job
 	var best *task
@@ -108,17 +109,17 @@
 	return fits && isTelling && j.hasSpareAttempt(t) && j.survivesFailure(now, t, a, p.isUrgent(now))
 }
 
-// hasRoomAt reports whether the bound on the tasks of a step on one worker lets a task run there.
+// hasRoomAt reports whether the limit on tasks of a step per worker permits a task to run there.
 func (j *job) hasRoomAt(t *task, a *agent) bool {
 	most := j.Steps[t.step].PerWorker
 	return most == 0 || j.countAt(a, t.step) < most
 }
 
-// stallTime is how long after its start a probe that hangs is stopped, as its progress shows it.
+// stallTime is the time after its start at which a hanging probe is stopped because of its missing progress.
 const stallTime = 100 * time.Millisecond
 
-// survivesFailure reports whether a job is in time if a run of a task that begins now fails half-way, or hangs until it is stopped: within its
-// objective, or if mayBeLate is set before its caller leaves.
+// survivesFailure reports whether a job is in time if a run of a task that begins now fails half-way, or hangs until it is
+// stopped: within its objective, or before it expires if mayBeLate is set.
 func (j *job) survivesFailure(now time.Time, t *task, a *agent, mayBeLate bool) bool {
 	if j.isDurable {
 		return true
--- a/internal/dispatch/reject.go
+++ b/internal/dispatch/reject.go
@@ -3,21 +3,21 @@
 
 package dispatch
 
-// This file decides what follows when an agent rejects a start, as its worker has no room: the load by which the worker was chosen was
-// out of date.
+// This file handles starts that an agent rejects for lack of resources, as the load by which the worker was selected was out of
+// date.
 
-// maxRejections is how many starts of a task may be rejected before it is placed by an offer only.
+// maxRejections is the number of rejected starts of a task after which it is placed only on an offer.
 const maxRejections = 2
 
 // noteRejected records that an agent has rejected the latest start of a task.
 //
-// Inputs: the number of the start, that of the last start which the agent's load counts.
+// Inputs: the number of the start, and of the last start that the agent's load counts.
 //
-// Rule: the agent gets no further tasks without an offer until a later load. The task is placed by an offer only once maxRejections
-// starts of it were rejected.
+// Rule: the agent gets no tasks without an offer until a later load. After maxRejections rejected starts the task is placed only
+// on an offer.
 //
-// Reason: an entry that reads loads late sends starts again and again to workers that are full, and each of them makes it later. An
-// offer holds until it is answered.
+// Reason: an entry that reads loads late repeatedly sends starts to workers that are full, and each of these starts delays it
+// further. An offer is valid until it is answered.
 func (d *Dispatcher) noteRejected(t *task) {
 	t.rejections++
 	if a, ok := d.agents[t.agent]; ok {
@@ -25,8 +25,8 @@
 	}
 }
 
-// withoutOffer returns those of the tasks that may be placed without an offer. The tasks of a contained job all may, as it reserves
-// nothing.
+// withoutOffer returns the tasks that may be placed without an offer. This is every task of a contained job, as the job makes no
+// reservations.
 func (d *Dispatcher) withoutOffer(j *job, tasks []*task) []*task {
 	if d.isContained(j) {
 		return tasks
--- a/internal/dispatch/return.go
+++ b/internal/dispatch/return.go
@@ -9,71 +9,73 @@
 	"time"
 )
 
-// This file decides when the callers of refused jobs are asked to return.
+// This file decides after which time the callers of refused jobs may retry.
 
 const (
-	// RetryAfter is the shortest time after which the caller of a refused job may submit it again: one second is the least that
-	// callers are told, in whole seconds.
+	// RetryAfter is the minimum time after which the caller of a refused job may submit it again. Callers are told whole seconds,
+	// so one second is the least.
 	RetryAfter = time.Second
-	// maxRetryAfter is the longest such time. What an entry knows of its load says nothing of later.
+	// maxRetryAfter is the maximum. The load known to an entry does not predict that of a later time.
 	maxRetryAfter = 10 * time.Second
-	// returnShare is the part, 0 to 1, of the work done lately that returning callers are expected to bring. It is that of the free
-	// resources with which late retries are placed (lateRetryFreeShare): the rest is for new callers.
+	// returnShare is the fraction of the recent rate of work that is reserved for returning callers. It equals the fraction of free
+	// resources required for late retries (lateRetryFreeShare); the rest is for new callers.
 	returnShare = lateRetryFreeShare
-	// rateWindow is the time over which the rate of work is averaged: more than the longest tasks take, less than a burst.
+	// rateWindow is the time constant for averaging the rate of work: longer than the longest tasks, shorter than a burst.
 	rateWindow = 2 * time.Second
 )
 
-// work is an amount of computing: thousandths of a core times seconds.
+// work is an amount of computation in thousandths of a core times seconds.
 type work float64
 
-// workOf returns the work of a number of tasks with the same needs and time, in thousandths of a core and seconds.
+// workOf returns the work of a number of tasks with the same CPU need, in thousandths of a core, and the same duration.
 func workOf(tasks, cpu int, each time.Duration) work {
 	return work(float64(tasks*cpu) * each.Seconds())
 }
 
-// recentWork is an amount of work of which each piece is weighted by exp(-age/window). The zero value is none.
+// recentWork is an amount of work in which each addition is weighted by exp(-age/window). The zero value is empty.
 type recentWork struct {
 	sum     work
 	updated time.Time
 }
 
-// add adds a piece.
+// add adds an amount of work.
 func (r *recentWork) add(now time.Time, w work, window time.Duration) {
 	r.decay(now, window)
 	r.sum += w
 }
 
-// decay brings the sum up to a time.
+// decay updates the sum to the given time.
 func (r *recentWork) decay(now time.Time, window time.Duration) {
 	age := now.Sub(r.updated)
 	r.sum *= work(math.Exp(-age.Seconds() / window.Seconds()))
 	r.updated = now
 }
 
-// returnPlan spreads the returns of refused callers over the time in which there will be room for them. The zero value has
-// seen no work.
+// returnPlan spreads the returns of refused callers over the time in which there will be resources for them. The zero value has
+// no recent work.
 type returnPlan struct {
-	// recent is the work done, over rateWindow.
+	// recent is the completed work, averaged over rateWindow.
 	recent recentWork
-	// next is when the caller that was refused last is to return.
+	// next is the time at which the caller refused last is to return.
 	next time.Time
 }
 
-// done adds work that was done.
+// done adds completed work.
 func (p *returnPlan) done(now time.Time, w work) {
 	p.recent.add(now, w, rateWindow)
 }
 
-// plan returns after which time the caller of a refused job may return; ok is false if no work was done lately.
+// plan returns the time after which the caller of a refused job may return; ok is false if there was too little work recently to
+// tell.
 //
-// Inputs: the work of the job, the work that the tasks of this entry did lately, the time that the caller refused before was given.
+// Inputs: the work of the job, the recently completed work of the tasks of this entry, the time given to the previous refused caller.
 //
-// Rule: a caller returns after the one that was refused before it, by the time that its job takes at returnShare of the rate of
-// work; RetryAfter at least. Beyond maxRetryAfter it is a random time in the second half of that.
+// Rule: a caller returns after the previously refused one, by the time that its job takes at returnShare of the rate of work, but
+// not before RetryAfter. Beyond maxRetryAfter it is a random time in the second half of maxRetryAfter.
 //
-// Reason: jobs are refused in bursts. Callers that return together make the next one, and callers that return in the order in
-// which they were refused wait about equally long. The rate says when there is room for them, whatever the size of the site.
+// Reason: jobs are refused in bursts. Callers that return together cause the next burst, and callers that return in the order of
+// their refusals wait about equally long. The rate shows when there will be resources for them, regardless of the size of the
+// site.
 func (p *returnPlan) plan(now time.Time, w work, random *rand.Rand) (wait time.Duration, ok bool) {
 	p.recent.decay(now, rateWindow)
 	rate := returnShare * float64(p.recent.sum) / rateWindow.Seconds()
@@ -91,8 +93,8 @@
 	return p.next.Sub(now), true
 }
 
-// retryAfter returns the time after which the caller of a job that is refused for lack of room may submit it again. If the entry
-// has done no work lately, as after a restart, it is a random time between RetryAfter and twice that, so that the callers
+// retryAfter returns the time after which the caller of a job that is refused for lack of resources may submit it again. If the
+// entry has done no work recently, as after a restart, it is a random time between RetryAfter and twice that, so that the callers
 // do not return together.
 func (d *Dispatcher) retryAfter(now time.Time, j *job) time.Duration {
 	if wait, ok := d.returns.plan(now, j.work(), d.random); ok {
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -15,30 +15,30 @@
 	Agent       AgentID
 	Incarnation worker.Incarnation
 	Run         uint32
-	// WasRunning is set if the run was running for certain, and IsLatest if besides no start was sent to the worker after its own.
+	// WasRunning is set if the run was running for certain. IsLatest is set if in addition no later start was sent to the worker.
 	WasRunning bool
 	IsLatest   bool
-	// Age is the time from when its start was sent until the worker crashed, which may be too long by AgeError.
+	// Age is the time from sending the start until the crash of the worker. It may be too long by AgeError.
 	Age, AgeError time.Duration
-	// others tells how many workers crashed for other causes than tasks at that time (crashhistory.go).
+	// others is the level of crashes with causes other than tasks at that time (crashhistory.go).
 	others otherCauses
 }
 
-// suspicion is what is known of a task under which workers have crashed.
+// suspicion holds the crashes of workers under a task.
 type suspicion struct {
-	// crashes has one crash for each incarnation.
+	// crashes has one crash per incarnation.
 	crashes []Crash
-	// latest is when the latest crash was reported.
+	// latest is the time at which the latest crash was reported.
 	latest time.Time
 }
 
-// suspects holds the tasks under which workers have crashed, by their names.
+// suspects holds the tasks under which workers have crashed, by task name.
 type suspects map[string]suspicion
 
-// isConclusive reports whether the crash needs no third one if an earlier one was like it.
+// isConclusive reports whether no third crash is needed if an earlier one was similar.
 func (c Crash) isConclusive() bool { return c.IsLatest && c.others == noOtherCauses }
 
-// learn adds what another report of the same crash tells, and returns false if that is nothing new.
+// learn merges another report of the same crash. It returns false if the report adds nothing.
 func (c *Crash) learn(again Crash) bool {
 	isNew := again.WasRunning && !c.WasRunning || again.IsLatest && !c.IsLatest
 	if isNew {
@@ -49,7 +49,7 @@
 	return isNew
 }
 
-// add counts a crash. It returns false if that tells nothing new.
+// add records a crash. It returns false if the crash is known and the report adds nothing.
 func (s suspects) add(now time.Time, task string, crash Crash) bool {
 	known := s[task]
 	isSame := func(other Crash) bool { return other.Agent == crash.Agent && other.Incarnation == crash.Incarnation }
@@ -74,7 +74,7 @@
 	delete(s, oldest)
 }
 
-// forgetBefore removes the tasks whose latest crash was before a time.
+// forgetBefore removes the tasks whose latest crash was before the limit.
 func (s suspects) forgetBefore(limit time.Time) {
 	for task, known := range s {
 		if known.latest.Before(limit) {
@@ -88,13 +88,13 @@
 	return len(s[task].crashes) > 0
 }
 
-// mustGiveUp reports whether so many workers have crashed under a task that it is not run again.
+// mustGiveUp reports whether enough workers have crashed under a task that it must not run again.
 func (s suspects) mustGiveUp(task string) bool {
 	crashes, certain := s[task].crashes, s.certain(task)
 	return len(crashes) >= maxPossibleCrashes || len(certain) >= maxCrashes || haveOneCause(certain) || haveLikelyCause(crashes)
 }
 
-// haveOneCause reports whether the task has caused crashes under it, as far as is known.
+// haveOneCause reports whether the crashes under the task were most likely caused by it.
 func (s suspects) haveOneCause(task string) bool { return haveOneCause(s.certain(task)) }
 
 // certain returns the crashes under a task at which its run was running for certain.
@@ -108,9 +108,9 @@
 	return certain
 }
 
-// haveOneCause reports whether crashes under a task were most likely caused by it, as its runs had lasted about as long each time: two if
-// the later one is conclusive, or three. The first crash alone says nothing, whether its run was the latest or not: the task was no
-// suspect then, so it was not isolated.
+// haveOneCause reports whether crashes under a task were most likely caused by it, as its runs had about the same age each time:
+// two crashes if the later one is conclusive, three otherwise. Whether the run at the first crash was the latest on its worker does
+// not matter: the task was no suspect then, so it was not isolated.
 func haveOneCause(crashes []Crash) bool {
 	for i, later := range crashes {
 		alike := 1
@@ -126,8 +126,9 @@
 	return false
 }
 
-// haveLikelyCause reports whether a third crash under a task makes it likely that the task has caused all of them: its runs had lasted about as
-// long each time but for the time by which a busy worker or agent is late, and workers do not crash for many other causes.
+// haveLikelyCause reports whether a third crash under a task makes it likely that the task caused all of them: its runs had about
+// the same age each time, with an allowance for the delay of a busy worker or agent, and workers do not crash for many other
+// causes.
 func haveLikelyCause(crashes []Crash) bool {
 	for i, later := range crashes {
 		if later.others == manyOtherCauses {
@@ -150,10 +151,11 @@
 	return false
 }
 
-// areAlike reports whether the ages of two runs at the crashes of their workers are about the same.
+// areAlike reports whether two runs had about the same age at the crashes of their workers.
 func areAlike(a, b Crash) bool { return areAlikeWithin(ageTolerance, a, b) }
 
-// areAlikeWithin reports whether the ages of two runs differ by a tolerance at the most, besides ageShare and what agents measure too much.
+// areAlikeWithin reports whether the ages of two runs differ by no more than the tolerance, plus ageShare of the lower age, plus
+// the measuring error of the agents.
 func areAlikeWithin(tolerance time.Duration, a, b Crash) bool {
 	tolerance += time.Duration(ageShare*float64(min(a.Age, b.Age))) + max(a.AgeError, b.AgeError)
 	return (a.Age - b.Age).Abs() <= tolerance
