--- a/internal/dispatch/begun_test.go
+++ b/internal/dispatch/begun_test.go
@@ -12,9 +12,9 @@
 	"sailhead/internal/worker"
 )
 
-// TestADurableJobWhoseAgentIsLostMayHaveBegun loses the session with an agent before it has answered a start: the run may have begun,
-// so the job no longer counts as one that has not.
-func TestADurableJobWhoseAgentIsLostMayHaveBegun(t *testing.T) {
+// A start that was not answered before the session ended may have begun a run, so package durable must be told that the job may
+// have begun.
+func TestDurableJobMayHaveBegunAfterAgentLoss(t *testing.T) {
 	d := New(Limits{Jobs: 10}, rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1_000_000, 0)
 	d.Handle(now, AgentUp{Agent: "a"},
--- a/internal/dispatch/congestion_test.go
+++ b/internal/dispatch/congestion_test.go
@@ -10,8 +10,9 @@
 	"sailhead/internal/clock"
 )
 
-// TestTheShareOfHandOversFallsAtLittleTraffic lets starts be late at much traffic, and then come in time at a few a second.
-func TestTheShareOfHandOversFallsAtLittleTraffic(t *testing.T) {
+// The hand-over share must return to zero once starts are counted in time, also if there are only a few of them per second and
+// therefore few windows.
+func TestHandOverShareFallsAtLowTraffic(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		interval time.Duration
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -40,7 +40,7 @@
 		t.Fatalf("gave up %v after two crashes, want j1", jobs)
 	}
 	if jobs, _, _ := d.Counts(); jobs > 0 {
-		t.Fatal("the job is still under way")
+		t.Fatal("the job is still in progress")
 	}
 }
 
@@ -56,14 +56,14 @@
 	}
 }
 
-func TestCrashesAreForgotten(t *testing.T) {
+func TestCrashesExpire(t *testing.T) {
 	d, now := newDispatcherWithAgents("a")
 	d.Handle(now, crashOf("a", "w1", "j1.0.0.0"))
 	now = now.Add(suspicionTime + time.Second)
 	d.Handle(now, Ticked{})
 	d.Handle(now, crashOf("a", "w2", "j1.0.0.0"))
 	if jobs := givenUp(d.Handle(now, durableJob("j1", 1))); len(jobs) > 0 {
-		t.Fatalf("gave up %v although the first crash was long ago", jobs)
+		t.Fatalf("gave up %v although the first crash has expired", jobs)
 	}
 }
 
@@ -74,9 +74,9 @@
 		d.Handle(now, crashOf("a", "w1", fmt.Sprintf("j%d.0.0.0", i)))
 	}
 	if len(d.suspects) != maxSuspects {
-		t.Fatalf("%d tasks are remembered, want %d", len(d.suspects), maxSuspects)
+		t.Fatalf("%d suspects are stored, want %d", len(d.suspects), maxSuspects)
 	}
 	if latest := fmt.Sprintf("j%d.0.0.0", 2*maxSuspects-1); !d.suspects.isSuspect(latest) {
-		t.Fatal("the latest crash is forgotten")
+		t.Fatal("the latest crash was evicted")
 	}
 }
--- a/internal/dispatch/crashhistory_test.go
+++ b/internal/dispatch/crashhistory_test.go
@@ -13,14 +13,15 @@
 	"sailhead/internal/worker"
 )
 
-// killWorkers lets workers crash under a number of tasks, each under one of its own.
+// killWorkers reports the crashes of a number of workers, each under a task of its own.
 func killWorkers(d *Dispatcher, now time.Time, count int) {
 	for i := range count {
 		d.Handle(now, crashOf(AgentID(fmt.Sprintf("killed-%d", i)), "w1", fmt.Sprintf("other%d.0.0.0", i)))
 	}
 }
 
-// crashesUntilGivenUp lets workers crash under one task at like ages of its runs until its durable job is given up, and returns how many did.
+// crashesUntilGivenUp reports crashes under one task, at the same age of its runs, until its durable job is given up, and returns
+// their number.
 func crashesUntilGivenUp(t *testing.T, d *Dispatcher, now time.Time, job string) int {
 	t.Helper()
 	d.Handle(now, durableJob(job, 1))
@@ -34,9 +35,9 @@
 	return 0
 }
 
-// TestTwoCrashesMayBeChanceWhileWorkersAreKilled counts how many workers crash under a task before its job is given up, beside workers that
-// crash under tasks which crash no other.
-func TestTwoCrashesMayBeChanceWhileWorkersAreKilled(t *testing.T) {
+// Two crashes under a task may be a coincidence while workers are killed, so its job must be given up only after a third one. Killed
+// workers show as crashes under tasks that crash no other worker.
+func TestThirdCrashIsRequiredWhileWorkersAreKilled(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		agents       int
@@ -48,8 +49,8 @@
 		{"one is killed", 20, 1, 2 * time.Second, 3},
 		{"one of many is killed", 2800, 1, 2 * time.Second, 3},
 		{"many are killed", 20, 9, 2 * time.Second, 3},
-		{"the cause may show yet", 20, 2, settleTime / 2, 2},
-		{"it was long ago", 20, 2, historyTime + time.Second, 2},
+		{"another crash may still follow", 20, 2, settleTime / 2, 2},
+		{"the kills are older than the history", 20, 2, historyTime + time.Second, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d, now := newDispatcherWithAgents("a")
@@ -62,8 +63,8 @@
 	}
 }
 
-// TestTasksThatCrashWorkersAreNoOtherCause lets tasks crash two workers each, and after that another one.
-func TestTasksThatCrashWorkersAreNoOtherCause(t *testing.T) {
+// Crashes of workers that tasks caused must not delay giving up another task that crashes its workers.
+func TestCrashesCausedByTasksAreNotOtherCauses(t *testing.T) {
 	d, now := newDispatcherWithAgents("a")
 	for i := range 5 {
 		crashesUntilGivenUp(t, d, now, fmt.Sprintf("j%d", i))
@@ -73,9 +74,9 @@
 	}
 }
 
-// TestAPairThatMayBeChanceIsNoKnownCause lets two workers that are killed be hit under one task: the next two under another one may be chance as
-// before.
-func TestAPairThatMayBeChanceIsNoKnownCause(t *testing.T) {
+// Two killed workers that happened to run the same task must not count as caused by it: otherwise the job of the next task would be
+// given up after two coincident crashes.
+func TestCoincidentCrashesAreNotMarkedAsCaused(t *testing.T) {
 	d, now := newDispatcherWithAgents("a")
 	killWorkers(d, now, 3)
 	now = now.Add(2 * time.Second)
@@ -85,9 +86,9 @@
 	}
 }
 
-// TestThirdCrashAtALikelyAge counts how many workers crash under a task whose crashes are noticed more or less late, or under runs that may have
-// ended before.
-func TestThirdCrashAtALikelyAge(t *testing.T) {
+// A third crash gives a job up if the ages of the runs are similar with an allowance for crashes noticed late, and if at most one of
+// the runs may have ended before its crash.
+func TestThirdCrashAtASimilarAge(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		killed  int
@@ -96,11 +97,11 @@
 		givenUp int
 	}{
 		{"late", 0, []time.Duration{12 * time.Millisecond, 36 * time.Millisecond, 55 * time.Millisecond}, nil, 3},
-		{"late, and one run may have ended", 0, []time.Duration{12 * time.Millisecond, 36 * time.Millisecond, 55 * time.Millisecond}, []int{1}, 3},
+		{"noticed late, and one run may have ended", 0, []time.Duration{12 * time.Millisecond, 36 * time.Millisecond, 55 * time.Millisecond}, []int{1}, 3},
 		{"two runs may have ended", 0, []time.Duration{12 * time.Millisecond, 36 * time.Millisecond, 55 * time.Millisecond, 20 * time.Millisecond}, []int{1, 2}, 4},
-		{"at any ages", 0, []time.Duration{35 * time.Millisecond, 411 * time.Millisecond, 249 * time.Millisecond, 131 * time.Millisecond}, nil, 4},
-		{"late, while some workers are killed", 2, []time.Duration{12 * time.Millisecond, 36 * time.Millisecond, 55 * time.Millisecond}, nil, 3},
-		{"late, while many are killed", 9, []time.Duration{12 * time.Millisecond, 36 * time.Millisecond, 55 * time.Millisecond, 80 * time.Millisecond}, nil, 4},
+		{"at different ages", 0, []time.Duration{35 * time.Millisecond, 411 * time.Millisecond, 249 * time.Millisecond, 131 * time.Millisecond}, nil, 4},
+		{"noticed late, while some workers are killed", 2, []time.Duration{12 * time.Millisecond, 36 * time.Millisecond, 55 * time.Millisecond}, nil, 3},
+		{"noticed late, while many workers are killed", 9, []time.Duration{12 * time.Millisecond, 36 * time.Millisecond, 55 * time.Millisecond, 80 * time.Millisecond}, nil, 4},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d, now := newDispatcherWithAgents("a")
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestABusyAgentMeasuresAgesTooLong lets two workers crash under a task, the second of which has a busy agent.
-func TestABusyAgentMeasuresAgesTooLong(t *testing.T) {
+// A busy agent overestimates the age of a run. Two crashes must count as similar if their ages differ by no more than that error.
+func TestAgesAreComparedWithinTheirError(t *testing.T) {
 	for ageError, want := range map[time.Duration]int{0: 0, 20 * time.Millisecond: 1} {
 		d, now := newDispatcherWithAgents("a")
 		d.Handle(now, durableJob("j1", 1))
@@ -133,13 +134,13 @@
 		first.Crash.Runs[0].Age = 11 * time.Millisecond
 		second.Crash.Runs[0].Age, second.Crash.Runs[0].AgeError = 33*time.Millisecond, ageError
 		if jobs := givenUp(d.Handle(now, first, second)); len(jobs) != want {
-			t.Errorf("with an error of %s %d jobs are given up, want %d", ageError, len(jobs), want)
+			t.Errorf("with an age error of %s %d jobs are given up, want %d", ageError, len(jobs), want)
 		}
 	}
 }
 
-// TestAKnownCauseOutweighsKilledWorkers lets a task crash workers beside others that are killed: the next such task is given up as if none was.
-func TestAKnownCauseOutweighsKilledWorkers(t *testing.T) {
+// Once a task is known to crash workers while others are killed, the next such task must be given up as if none were killed.
+func TestCausedCrashesOutweighKilledWorkers(t *testing.T) {
 	d, now := newDispatcherWithAgents("a")
 	killWorkers(d, now, unexplainedPerCaused-1)
 	now = now.Add(2 * time.Second)
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestACrashUnderAContainedJobIsExplained lets workers crash under contained jobs that were started last.
-func TestACrashUnderAContainedJobIsExplained(t *testing.T) {
+// Crashes under isolated jobs of a contained kind are caused by these jobs and must not count as unexplained.
+func TestCrashUnderAContainedJobIsExplained(t *testing.T) {
 	d, now := newDispatcherWithAgents("a")
 	for i := range 5 {
 		d.Handle(now, WorkerCrashed{Agent: AgentID(fmt.Sprintf("a%d", i)), Crash: runner.Crash{
@@ -171,6 +172,6 @@
 	killWorkers(d, now, 2*maxHistory)
 	killWorkers(d, now, 2*maxHistory)
 	if count := len(d.crashHistory.crashes); count != maxHistory {
-		t.Errorf("%d crashes are remembered, want %d", count, maxHistory)
+		t.Errorf("%d crashes are stored, want %d", count, maxHistory)
 	}
 }
--- a/internal/dispatch/forecast_test.go
+++ b/internal/dispatch/forecast_test.go
@@ -15,30 +15,30 @@
 	"sailhead/internal/worker"
 )
 
-// crowded is a dispatcher with full workers, at which jobs of one kind wait and some of their tasks were placed by offers.
-type crowded struct {
+// queueing is a dispatcher with full workers at which jobs of one kind wait and some of their tasks were placed on offers.
+type queueing struct {
 	*Dispatcher
 	now  time.Time
 	last int
 }
 
-// crowdedKind is a kind of which a job may wait for some 100 ms.
-var crowdedKind = Kind{Name: "kind", Service: "svc", Stretch: 1.6, Target: 60 * time.Millisecond}
+// queueingKind is a kind whose jobs may wait for about 100 ms.
+var queueingKind = Kind{Name: "kind", Service: "svc", Stretch: 1.6, Target: 60 * time.Millisecond}
 
-var crowdedNeeds = worker.Resources{CPU: 3100}
+var queueingNeeds = worker.Resources{CPU: 3100}
 
-// newCrowded lets jobs wait for a while, of which one is placed every 20 ms.
-func newCrowded(limits Limits) *crowded {
+// newQueueing submits two jobs every 20 ms and lets one of them be placed.
+func newQueueing(limits Limits) *queueing {
 	now := time.Unix(1_000_000, 0)
-	c := &crowded{Dispatcher: New(limits, rand.New(rand.NewPCG(1, 2))), now: now}
+	c := &queueing{Dispatcher: New(limits, rand.New(rand.NewPCG(1, 2))), now: now}
 	for i := range 4 {
 		id := AgentID(fmt.Sprintf("agent-%d", i))
 		record := worker.Record{ID: "w-" + string(id), Service: "svc", Capacity: worker.Resources{CPU: 32000}}
 		c.Handle(now, AgentUp{Agent: id}, WorkerDescribed{Agent: id, Record: record}, LoadReceived{Agent: id, Load: busyLoad(0)})
 	}
 	for range 20 {
-		c.submit(crowdedKind, 0)
-		c.submit(crowdedKind, 0)
+		c.submit(queueingKind, 0)
+		c.submit(queueingKind, 0)
 		c.now = c.now.Add(20 * time.Millisecond)
 		c.Handle(c.now, Ticked{})
 		c.offer()
@@ -46,17 +46,17 @@
 	return c
 }
 
-// submit submits a job of one task, and returns its answer, nil while there is none.
-func (c *crowded) submit(kind Kind, remaining time.Duration) Answer {
+// submit submits a job with one task and returns its answer, or nil if there is none yet.
+func (c *queueing) submit(kind Kind, remaining time.Duration) Answer {
 	c.last++
-	step := Step{Count: 1, Needs: crowdedNeeds, Expected: 200 * time.Millisecond}
+	step := Step{Count: 1, Needs: queueingNeeds, Expected: 200 * time.Millisecond}
 	job := Job{ID: fmt.Sprintf("job-%d", c.last), Kind: kind, Steps: []Step{step}, RemainingTime: remaining}
 	return answerIn(c.Handle(c.now, Submitted{Job: job, Waiter: Waiter(c.last)}))
 }
 
-// offer lets an agent offer room for one task.
-func (c *crowded) offer() {
-	c.Handle(c.now, OfferReceived{Agent: "agent-0", Offer: runner.Offer{ID: runner.OfferID(c.last), Resources: crowdedNeeds}})
+// offer lets an agent offer resources for one task.
+func (c *queueing) offer() {
+	c.Handle(c.now, OfferReceived{Agent: "agent-0", Offer: runner.Offer{ID: runner.OfferID(c.last), Resources: queueingNeeds}})
 }
 
 // answerIn returns the first answer among effects, or nil.
@@ -69,11 +69,11 @@
 	return nil
 }
 
-// fill lets jobs arrive until one is refused by its forecast.
-func (c *crowded) fill(t *testing.T) NotRun {
+// fill submits jobs until one is refused by its forecast.
+func (c *queueing) fill(t *testing.T) NotRun {
 	t.Helper()
 	for range 50 {
-		if refusal, ok := c.submit(crowdedKind, 0).(NotRun); ok && refusal.IsForecast {
+		if refusal, ok := c.submit(queueingKind, 0).(NotRun); ok && refusal.IsForecast {
 			return refusal
 		}
 	}
@@ -81,44 +81,44 @@
 	return NotRun{}
 }
 
-func TestAJobThatWouldWaitForTooLongIsRefusedOnArrival(t *testing.T) {
-	c := newCrowded(Limits{Jobs: 1000})
+func TestJobWithTooLongExpectedWaitIsRefusedOnArrival(t *testing.T) {
+	c := newQueueing(Limits{Jobs: 1000})
 	refusal := c.fill(t)
 	if refusal.RetryAfter < RetryAfter {
-		t.Errorf("the caller may return after %s", refusal.RetryAfter)
+		t.Errorf("the caller may retry after %s, want 1s at least", refusal.RetryAfter)
 	}
 	for _, figure := range []string{"ahead_jobs=", "placed_per_second=", "wait=", "limit=", "accepting=4"} {
 		if !strings.Contains(refusal.Reason, figure) {
-			t.Errorf("%s is not in the reason %q", figure, refusal.Reason)
+			t.Errorf("the refusal reason %[2]q lacks %[1]s", figure, refusal.Reason)
 		}
 	}
 }
 
 func TestNoJobIsRefusedOnArrivalWithoutForecasts(t *testing.T) {
-	c := newCrowded(Limits{Jobs: 1000, NoForecast: true})
+	c := newQueueing(Limits{Jobs: 1000, NoForecast: true})
 	for range 50 {
-		if answer := c.submit(crowdedKind, 0); answer != nil {
+		if answer := c.submit(queueingKind, 0); answer != nil {
 			t.Fatalf("%+v", answer)
 		}
 	}
 }
 
-func TestAJobIsNotRefusedWhileAWorkerHasRoom(t *testing.T) {
-	c := newCrowded(Limits{Jobs: 1000})
+func TestJobIsNotRefusedWhileAWorkerHasResources(t *testing.T) {
+	c := newQueueing(Limits{Jobs: 1000})
 	c.fill(t)
 	load := busyLoad(0)
 	load.HasReservations, load.Used = false, worker.Resources{}
-	// The load and the job come together: the room is not taken yet.
-	step := Step{Count: 1, Needs: crowdedNeeds, Expected: 200 * time.Millisecond}
-	job := Job{ID: "with-room", Kind: crowdedKind, Steps: []Step{step}}
+	// The load and the job arrive together, so the resources are still free.
+	step := Step{Count: 1, Needs: queueingNeeds, Expected: 200 * time.Millisecond}
+	job := Job{ID: "with-room", Kind: queueingKind, Steps: []Step{step}}
 	if answer := answerIn(c.Handle(c.now, LoadReceived{Agent: "agent-1", Load: load}, Submitted{Job: job, Waiter: 1000})); answer != nil {
 		t.Errorf("%+v", answer)
 	}
 }
 
-func TestRoomOfEjectedWorkersAndRoomLeftForShorterTasksIsNone(t *testing.T) {
-	step := Step{Count: 1, Needs: crowdedNeeds, Expected: 200 * time.Millisecond}
-	j := newJob(time.Unix(1_000_000, 0), Job{ID: "job", Kind: crowdedKind, Steps: []Step{step}}, nil)
+func TestHasRoomForExcludesEjectedWorkersAndHeadroom(t *testing.T) {
+	step := Step{Count: 1, Needs: queueingNeeds, Expected: 200 * time.Millisecond}
+	j := newJob(time.Unix(1_000_000, 0), Job{ID: "job", Kind: queueingKind, Steps: []Step{step}}, nil)
 	headroom := func(longerThan time.Duration, cpu int) []shares.Bound {
 		return []shares.Bound{{LongerThan: longerThan, CPU: cpu}}
 	}
@@ -129,10 +129,10 @@
 	}{
 		{"room", runner.Load{}, true},
 		{"an ejected worker", runner.Load{IsEjected: true}, false},
-		{"reserved room", runner.Load{HasReservations: true}, false},
-		{"all left for shorter tasks", runner.Load{Headroom: headroom(100*time.Millisecond, 32000)}, false},
-		{"a part left for shorter tasks", runner.Load{Headroom: headroom(100*time.Millisecond, 8000)}, true},
-		{"left for shorter tasks than this", runner.Load{Headroom: headroom(300*time.Millisecond, 32000)}, true},
+		{"reserved resources", runner.Load{HasReservations: true}, false},
+		{"headroom of all cores for shorter tasks", runner.Load{Headroom: headroom(100*time.Millisecond, 32000)}, false},
+		{"headroom of some cores for shorter tasks", runner.Load{Headroom: headroom(100*time.Millisecond, 8000)}, true},
+		{"headroom against longer tasks only", runner.Load{Headroom: headroom(300*time.Millisecond, 32000)}, true},
 	} {
 		a := &agent{load: test.load, record: worker.Record{Service: "svc", Capacity: worker.Resources{CPU: 32000}}}
 		if got := a.hasRoomFor(j, a.load.Headroom); got != test.want {
@@ -141,23 +141,23 @@
 	}
 }
 
-func TestAJobOfAKindThatDoesNotWaitIsNotRefused(t *testing.T) {
-	c := newCrowded(Limits{Jobs: 1000})
+func TestJobOfAKindWithoutWaitingTasksIsNotRefused(t *testing.T) {
+	c := newQueueing(Limits{Jobs: 1000})
 	c.fill(t)
-	other := crowdedKind
+	other := queueingKind
 	other.Name = "other"
 	if answer := c.submit(other, 0); answer != nil {
 		t.Errorf("%+v", answer)
 	}
 }
 
-// TestRoomOfLessUrgentKindsCountsForMoreUrgentOnes lets only jobs of a less urgent kind be placed, whose tasks take five times as long. A task of it
-// counts for five.
-func TestRoomOfLessUrgentKindsCountsForMoreUrgentOnes(t *testing.T) {
+// Only jobs of the less urgent kind are placed, whose tasks take five times as long: each of them counts as five tasks of the more
+// urgent kind, which would have got the resources.
+func TestPlacementsOfLessUrgentKindsCountForMoreUrgentOnes(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	f := newForecasts()
 	newOf := func(name string, priority int, each time.Duration) *job {
-		step := Step{Count: 1, Needs: crowdedNeeds, Expected: each}
+		step := Step{Count: 1, Needs: queueingNeeds, Expected: each}
 		return newJob(now, Job{ID: name, Kind: Kind{Name: name, Service: "svc", Priority: priority}, Steps: []Step{step}}, nil)
 	}
 	urgent, other := newOf("urgent", 0, 100*time.Millisecond), newOf("other", 1, 500*time.Millisecond)
@@ -177,15 +177,15 @@
 	before, _ := f.queueOf(other).rate.PerSecond(now)
 	f.placed(now, urgent, 10)
 	if after, _ := f.queueOf(other).rate.PerSecond(now); after != before {
-		t.Errorf("tasks of a more urgent kind count for a less urgent one: %.1f, want %.1f", after, before)
+		t.Errorf("placements of a more urgent kind changed the rate of a less urgent one: %.1f, want %.1f", after, before)
 	}
 }
 
-func TestADurableJobIsNotRefused(t *testing.T) {
-	c := newCrowded(Limits{Jobs: 1000})
+func TestDurableJobIsNotRefused(t *testing.T) {
+	c := newQueueing(Limits{Jobs: 1000})
 	c.fill(t)
-	step := Step{Count: 1, Needs: crowdedNeeds, Expected: 200 * time.Millisecond}
-	c.Handle(c.now, DurableAccepted{Job: Job{ID: "durable", Kind: crowdedKind, Steps: []Step{step}}})
+	step := Step{Count: 1, Needs: queueingNeeds, Expected: 200 * time.Millisecond}
+	c.Handle(c.now, DurableAccepted{Job: Job{ID: "durable", Kind: queueingKind, Steps: []Step{step}}})
 	c.now = c.now.Add(time.Second)
 	c.Handle(c.now, Ticked{})
 	if _, ok := c.jobs["durable"]; !ok {
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestAJobIsRefusedBeforeItIsLate lets jobs wait that were accepted and of which nothing is placed.
-func TestAJobIsRefusedBeforeItIsLate(t *testing.T) {
-	c := newCrowded(Limits{Jobs: 1000})
+// Accepted jobs of which no task is placed must be refused before their refusal counts as late.
+func TestWaitingJobIsRefusedBeforeItIsLate(t *testing.T) {
+	c := newQueueing(Limits{Jobs: 1000})
 	c.fill(t)
 	refused := 0
 	for range 20 {
@@ -215,9 +215,9 @@
 	}
 }
 
-// TestARefusedJobThatWouldHaveHadRoomIsReportedOnce lets all that waits be placed while a refused job could still wait.
-func TestARefusedJobThatWouldHaveHadRoomIsReportedOnce(t *testing.T) {
-	c := newCrowded(Limits{Jobs: 1000})
+// A job was refused avoidably if all waiting jobs are placed while it could still have waited. Each is reported once.
+func TestAvoidableRefusalIsReportedOnce(t *testing.T) {
+	c := newQueueing(Limits{Jobs: 1000})
 	c.fill(t)
 	load := busyLoad(0)
 	load.HasReservations, load.Used = false, worker.Resources{}
@@ -231,10 +231,10 @@
 		}
 	}
 	if _, waiting, _ := c.Counts(); waiting > 0 {
-		t.Fatalf("%d jobs wait", waiting)
+		t.Fatalf("%d jobs still wait", waiting)
 	}
 	if len(reports) == 0 {
-		t.Error("no job would have had room")
+		t.Error("no avoidable refusal was reported")
 	}
 	for job, count := range reports {
 		if count > 1 {
@@ -243,7 +243,8 @@
 	}
 }
 
-// BenchmarkArrival is the cost of a job that arrives, and is refused or accepted and left, while 100 jobs wait at 48 agents.
+// BenchmarkArrival measures the arrival of a job that is refused, or accepted and abandoned by its caller, while 100 jobs wait at 48
+// agents.
 func BenchmarkArrival(b *testing.B) {
 	for _, noForecast := range []bool{false, true} {
 		b.Run(fmt.Sprintf("forecast=%t", !noForecast), func(b *testing.B) {
@@ -260,7 +261,7 @@
 	}
 }
 
-// BenchmarkPlacement is the cost of a tick while 100 jobs wait at 48 agents.
+// BenchmarkPlacement measures a tick while 100 jobs wait at 48 agents.
 func BenchmarkPlacement(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	d := busyDispatcher(now, 48, 100)
@@ -270,20 +271,20 @@
 	}
 }
 
-// TestNoJobIsRefusedWhileAnEjectedWorkerMayTakeIt plays a job that has another attempt, behind jobs of its kind that have none, while so many
-// workers are ejected that this is ignored: one of them has room.
-func TestNoJobIsRefusedWhileAnEjectedWorkerMayTakeIt(t *testing.T) {
+// While so many workers are ejected that ejections are ignored, a job with another attempt must not be refused by the forecast of its
+// kind if an ejected worker has resources for it.
+func TestJobIsNotRefusedWhileAnEjectedWorkerMayRunIt(t *testing.T) {
 	for _, c := range []struct{ attempts, ejected int }{{2, 2}, {1, 2}, {2, 1}} {
-		crowd := newCrowded(Limits{Jobs: 1000})
-		crowd.fill(t)
+		queue := newQueueing(Limits{Jobs: 1000})
+		queue.fill(t)
 		for i := range c.ejected {
 			load := busyLoad(0)
 			load.Accepts, load.IsEjected, load.HasReservations, load.Used = false, true, false, worker.Resources{}
-			crowd.Handle(crowd.now, LoadReceived{Agent: AgentID(fmt.Sprintf("agent-%d", i)), Load: load})
+			queue.Handle(queue.now, LoadReceived{Agent: AgentID(fmt.Sprintf("agent-%d", i)), Load: load})
 		}
-		kind := crowdedKind
+		kind := queueingKind
 		kind.Attempts = c.attempts
-		refusal, isRefused := crowd.submit(kind, 0).(NotRun)
+		refusal, isRefused := queue.submit(kind, 0).(NotRun)
 		if mayRun := c.attempts > 1 && c.ejected > 1; isRefused == mayRun {
 			t.Errorf("%d attempts, %d of 4 workers ejected: refused %t (%s)", c.attempts, c.ejected, isRefused, refusal.Reason)
 		}
--- a/internal/dispatch/handover_test.go
+++ b/internal/dispatch/handover_test.go
@@ -18,7 +18,7 @@
 	"sailhead/internal/worker"
 )
 
-// handOverCase is a dispatcher that may have one job under way and hands further ones over.
+// handOverCase is a dispatcher with a limit of one job that hands further jobs over.
 type handOverCase struct {
 	t          *testing.T
 	now        time.Time
@@ -33,7 +33,7 @@
 	return c
 }
 
-// occupy submits the one job that may be under way.
+// occupy submits the one job that the limit permits.
 func (c *handOverCase) occupy() { c.handle(Submitted{Job: handOverJob("first"), Waiter: 1}) }
 
 func handOverJob(id string) Job {
@@ -52,7 +52,7 @@
 	}
 }
 
-// expect fails unless the last events led to the effects.
+// expect fails unless the last events had exactly the given effects.
 func (c *handOverCase) expect(effects ...Effect) {
 	c.t.Helper()
 	if len(c.effects) != len(effects) || len(effects) > 0 && !reflect.DeepEqual(c.effects, effects) {
@@ -60,14 +60,14 @@
 	}
 }
 
-// handOver hands a second job over for a waiter.
+// handOver submits a second job for a waiter, which is handed over.
 func (c *handOverCase) handOver(waiter Waiter) {
 	c.t.Helper()
 	c.handle(Submitted{Job: handOverJob("second"), Waiter: waiter})
 	c.expect(HandOver{Job: handOverJob("second"), Number: c.dispatcher.lastHandOver})
 }
 
-func TestAJobOverTheLimitIsHandedOverAndAnswered(t *testing.T) {
+func TestJobOverTheLimitIsHandedOverAndAnswered(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(Submitted{Job: handOverJob("second"), Waiter: 3})
@@ -78,14 +78,15 @@
 	c.expect()
 }
 
-// pass lets time pass.
+// pass advances the time.
 func (c *handOverCase) pass(d time.Duration) {
 	c.now = c.now.Add(d)
 	c.handle(Ticked{})
 }
 
-// TestAJobThatComesAgainWaitsForItsRunsElsewhere ends hand-overs of which the other entry may have started runs. The job comes again at once.
-func TestAJobThatComesAgainWaitsForItsRunsElsewhere(t *testing.T) {
+// A job whose hand-over ended while the other entry may have started runs is resubmitted at once. It must not start before these
+// runs have ended, or its tasks would run twice at a time.
+func TestResubmittedJobWaitsForRunsAtTheOtherEntry(t *testing.T) {
 	for name, end := range map[string]Event{
 		"withdrawn":   CallerLeft{Job: "second", Waiter: 2},
 		"cancelled":   CancelRequested{Job: "second", Waiter: 9},
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestAJobThatComesAgainIsNotHandedOverAgainWhileItMayRunElsewhere submits a job for which there is no room here.
-func TestAJobThatComesAgainIsNotHandedOverAgainWhileItMayRunElsewhere(t *testing.T) {
+// A job that may still run at the other entry must be refused at the job limit, not handed over again.
+func TestResubmittedJobIsNotHandedOverWhileItMayRunAtTheOtherEntry(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(CallerLeft{Job: "second", Waiter: 2})
@@ -123,8 +124,8 @@
 	c.handOver(4)
 }
 
-// TestADurableJobOfTheSameIDReplacesOneThatWasHandedOver accepts a durable job while the other entry may run one of the same ID.
-func TestADurableJobOfTheSameIDReplacesOneThatWasHandedOver(t *testing.T) {
+// A durable job must not start while the other entry may still run a handed-over job with the same ID.
+func TestDurableJobReplacesHandedOverJobWithTheSameID(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(DurableAccepted{Job: handOverJob("second")})
@@ -145,8 +146,8 @@
 	}
 }
 
-// TestWhatComesOfAnEarlierHandOverIsIgnored withdraws a job whose result is on its way, and hands it over again.
-func TestWhatComesOfAnEarlierHandOverIsIgnored(t *testing.T) {
+// Reports on a withdrawn hand-over that arrive late must not be taken for reports on the next hand-over of the same job.
+func TestReportsOnAnEarlierHandOverAreIgnored(t *testing.T) {
 	for _, late := range []Event{
 		HandOverTaken{Job: "second", Number: 1, Entry: "entry-2"},
 		HandOverEnded{Job: "second", Number: 1, Result: HandOverAnswered{Answer: NotRun{Reason: "no room"}}},
@@ -163,30 +164,30 @@
 		c.handle(late)
 		c.expect()
 		if on := c.dispatcher.handOversInTransit(); on != 1 {
-			t.Errorf("%+v: %d hand-overs are on their way, want 1", late, on)
+			t.Errorf("%+v: %d hand-overs are in transit, want 1", late, on)
 		}
 		c.handle(HandOverEnded{Job: "second", Number: 2, Result: HandOverAnswered{Answer: Completed{}}})
 		c.expect(Reply{Waiters: []Waiter{3}, Answer: Completed{}})
 	}
 }
 
-func TestAJobOfALostEntryIsInterrupted(t *testing.T) {
+func TestJobAtALostEntryIsInterrupted(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(HandOverEnded{Job: "second", Number: 1, Result: HandOverLost{Reason: "lost"}})
 	c.expect(Reply{Waiters: []Waiter{2}, Answer: Interrupted{Reason: "lost"}})
 }
 
-// TestAJobThatIsRefusedElsewhereIsHandedOverToAnotherEntry lets two entries in succession refuse a job for their own sake. What comes late of the
-// first hand-over is ignored.
-func TestAJobThatIsRefusedElsewhereIsHandedOverToAnotherEntry(t *testing.T) {
+// A job that one entry refuses locally is handed over to a second one, and refused here if that one refuses it too. A repeated report
+// on the first hand-over is ignored.
+func TestJobRefusedByOneEntryIsHandedOverToAnother(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	first := HandOverEnded{Job: "second", Number: 1, Result: HandOverRefused{Reason: "full"}}
 	c.handle(HandOverTaken{Job: "second", Number: 1, Entry: "entry-2"}, first)
 	c.expect(HandOver{Job: handOverJob("second"), Number: 2})
 	if on := c.dispatcher.handOversInTransit(); on != 1 {
-		t.Errorf("%d hand-overs are on their way, want 1", on)
+		t.Errorf("%d hand-overs are in transit, want 1", on)
 	}
 	c.handle(first)
 	c.expect()
@@ -194,7 +195,7 @@
 	c.expectRefusal(2)
 }
 
-func TestAJobThatNoEntryTakesIsRefusedWhileThereIsNoRoomHere(t *testing.T) {
+func TestJobThatNoEntryTakesIsRefusedAtTheJobLimit(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(HandOverEnded{Job: "second", Number: 1, Result: HandOverNotSent{Reason: "no other entry takes jobs"}})
@@ -205,7 +206,7 @@
 	}
 }
 
-func TestAJobThatNoEntryTakesIsAcceptedOnceThereIsRoomHere(t *testing.T) {
+func TestJobThatNoEntryTakesIsAcceptedBelowTheJobLimit(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(CallerLeft{Job: "first", Waiter: 1})
@@ -215,8 +216,8 @@
 	c.expect(StateReply{Waiter: 4, State: JobWaiting})
 }
 
-// TestAJobOfAnotherEntryIsNotHandedOver submits a job of another entry for which there is no room here.
-func TestAJobOfAnotherEntryIsNotHandedOver(t *testing.T) {
+// A job of another entry that arrives at the job limit must be refused locally, not handed over.
+func TestJobOfAnotherEntryIsNotHandedOverAgain(t *testing.T) {
 	c := newHandOverCase(t)
 	job := handOverJob("second")
 	job.IsHandedOver = true
@@ -224,13 +225,13 @@
 	reply, ok := c.effects[0].(Reply)
 	answer, isNotRun := reply.Answer.(NotRun)
 	if !ok || !isNotRun || !answer.IsLocal {
-		t.Fatalf("got %+v, want a refusal for the entry's own sake", c.effects)
+		t.Fatalf("got %+v, want a local refusal", c.effects)
 	}
 }
 
-// TestAnEntryIsFullWithAJobThatItHandedOver submits jobs of another entry while the one that this entry may have is elsewhere: a new one, and that
-// one itself, which would wait for itself. After it has ended they are taken.
-func TestAnEntryIsFullWithAJobThatItHandedOver(t *testing.T) {
+// While the one permitted job is handed over, another job is refused, and so is the job itself if it comes back, as it would wait for
+// itself. Jobs are accepted again after the hand-over has ended.
+func TestHandedOverJobCountsTowardsTheJobLimit(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(CallerLeft{Job: "first", Waiter: 1})
@@ -244,13 +245,13 @@
 	c.expect()
 }
 
-// newRoomyCase returns a dispatcher that may have many jobs under way and hands jobs over.
-func newRoomyCase(t *testing.T) *handOverCase {
+// newHandOverCaseBelowLimit returns a dispatcher that hands jobs over and is far below its job limit.
+func newHandOverCaseBelowLimit(t *testing.T) *handOverCase {
 	limits := Limits{Jobs: 100, HandOver: true}
 	return &handOverCase{t: t, now: time.Unix(1_000_000, 0), dispatcher: New(limits, rand.New(rand.NewPCG(1, 2)))}
 }
 
-// passWindows lets windows pass in which each start is counted after some time.
+// passWindows advances the time by windows in which each start is counted after the given time.
 func (c *handOverCase) passWindows(windows int, took time.Duration) {
 	for range windows {
 		c.now = c.now.Add(congestionWindow)
@@ -260,15 +261,14 @@
 	}
 }
 
-// TestAnEntryThatWasLateForAMomentTakesJobsOfOthers lets starts be late in some windows. Only an entry that hands over most of its own jobs refuses
-// those of others.
-func TestAnEntryThatWasLateForAMomentTakesJobsOfOthers(t *testing.T) {
+// An entry must refuse jobs of other entries only while it hands over most of its own, not because starts were late in a few windows.
+func TestEntryThatWasBrieflyLateAcceptsJobsOfOtherEntries(t *testing.T) {
 	for _, test := range []struct {
 		late, inTime int
 		isRefused    bool
 	}{{0, 0, false}, {1, 0, false}, {3, 0, false}, {20, 0, true}, {20, 1, true}, {20, 40, false}} {
 		t.Run(fmt.Sprintf("%d late and %d in time", test.late, test.inTime), func(t *testing.T) {
-			c := newRoomyCase(t)
+			c := newHandOverCaseBelowLimit(t)
 			c.passWindows(test.late, handOverThreshold+time.Millisecond)
 			c.passWindows(test.inTime, time.Millisecond)
 			c.handle(Submitted{Job: handedOverJob("theirs"), Waiter: 1})
@@ -281,10 +281,10 @@
 	}
 }
 
-// TestAnEntryWithRoomTakesJobsOfOthersWhileItsOwnAreElsewhere hands a job over while the entry is late. Once it is in time again it takes jobs of
-// others, but not the one that would wait for itself.
-func TestAnEntryWithRoomTakesJobsOfOthersWhileItsOwnAreElsewhere(t *testing.T) {
-	c := newRoomyCase(t)
+// An entry that has recovered accepts jobs of other entries although a job of its own is still handed over. That job itself is
+// refused if it comes back, as it would wait for itself.
+func TestEntryAcceptsJobsOfOtherEntriesWhileItsOwnAreHandedOver(t *testing.T) {
+	c := newHandOverCaseBelowLimit(t)
 	c.passWindows(20, handOverThreshold+time.Millisecond)
 	c.handle(Submitted{Job: handOverJob("own"), Waiter: 1})
 	c.expect(HandOver{Job: handOverJob("own"), Number: 1})
@@ -295,7 +295,7 @@
 	c.expect()
 }
 
-func TestAJobIsWithdrawnWithItsLastCaller(t *testing.T) {
+func TestHandOverIsWithdrawnWithTheLastCaller(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(Submitted{Job: handOverJob("second"), Waiter: 3})
@@ -305,7 +305,7 @@
 	c.expect(WithdrawHandOver{Job: "second", Number: 1})
 }
 
-func TestAJobThatWasHandedOverCanBeCancelled(t *testing.T) {
+func TestHandedOverJobCanBeCancelled(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(CancelRequested{Job: "second", Waiter: 5})
@@ -315,7 +315,7 @@
 	)
 }
 
-func TestAJobThatWasHandedOverEndsWithItsCallersTime(t *testing.T) {
+func TestHandedOverJobExpiresWithItsCallersTime(t *testing.T) {
 	c := newHandOverCase(t)
 	c.handOver(2)
 	c.handle(CallerLeft{Job: "first", Waiter: 1})
@@ -324,14 +324,14 @@
 	c.expect(Reply{Waiters: []Waiter{2}, Answer: Interrupted{Reason: "the job's time is over"}}, WithdrawHandOver{Job: "second", Number: 1})
 }
 
-// handedOverJob is a job that another entry hands over.
+// handedOverJob returns a job that another entry hands over.
 func handedOverJob(id string) Job {
 	job := handOverJob(id)
 	job.IsHandedOver = true
 	return job
 }
 
-// expectRefusal fails unless the last events led to a refusal for the entry's own sake, and no other effect.
+// expectRefusal fails unless the only effect of the last events is a local refusal.
 func (c *handOverCase) expectRefusal(waiters ...Waiter) {
 	c.t.Helper()
 	if len(c.effects) != 1 {
@@ -340,19 +340,19 @@
 	reply, _ := c.effects[0].(Reply)
 	answer, isNotRun := reply.Answer.(NotRun)
 	if !isNotRun || !answer.IsLocal || !slices.Equal(reply.Waiters, waiters) {
-		c.t.Fatalf("got %+v, want a refusal for the entry's own sake", c.effects)
+		c.t.Fatalf("got %+v, want a local refusal", c.effects)
 	}
 }
 
-// withWorker opens a session with an agent whose worker has room for some tasks.
+// withWorker opens a session with an agent whose worker has resources for the given number of tasks.
 func (c *handOverCase) withWorker(tasks int) {
 	record := worker.Record{ID: "w", Service: "service", Capacity: worker.Resources{CPU: 1000 * tasks}}
 	c.handle(AgentUp{Agent: "a"}, WorkerDescribed{Agent: "a", Record: record}, LoadReceived{Agent: "a", Load: runner.Load{Accepts: true, Slowness: 1}})
 }
 
-// TestAnEntryThatStopsHandsBackWhatHasNotBegun stops an entry that runs one job of another entry while a second one waits there. The first is
-// answered, and the second refused at once.
-func TestAnEntryThatStopsHandsBackWhatHasNotBegun(t *testing.T) {
+// An entry that shuts down must at once refuse a job of another entry that has not begun, so that the other entry can still run it,
+// and answer one that has begun.
+func TestShutdownReturnsJobsThatHaveNotBegun(t *testing.T) {
 	c := &handOverCase{t: t, now: time.Unix(1_000_000, 0), dispatcher: New(Limits{Jobs: 10}, rand.New(rand.NewPCG(1, 2)))}
 	c.withWorker(1)
 	c.handle(Submitted{Job: handedOverJob("begun"), Waiter: 1})
@@ -375,8 +375,8 @@
 	}
 }
 
-// TestAJobWithoutADeadlineThatWasHandedOverEnds hands a job over whose caller does not say how long it waits. The other entry never answers.
-func TestAJobWithoutADeadlineThatWasHandedOverEnds(t *testing.T) {
+// A handed-over job whose caller gave no deadline must expire although the other entry never answers.
+func TestHandedOverJobWithoutADeadlineExpires(t *testing.T) {
 	c := newHandOverCase(t)
 	job := handOverJob("second")
 	job.RemainingTime = 0
@@ -394,9 +394,9 @@
 	c.handle(EvacuationsChanged{State: evacuation.New(0, []evacuation.Change{{Zone: "", Revision: 1, IsEvacuated: true}})})
 }
 
-// TestAnEvacuationHandsBackWhatHasNotBegun evacuates the zone of all workers that an entry knows, while a job of its own and one of another entry
-// wait. The other entry may know further workers.
-func TestAnEvacuationHandsBackWhatHasNotBegun(t *testing.T) {
+// If all workers known to an entry are evacuated, a waiting job of another entry must be refused locally, as the other entry may know
+// further workers. A waiting job of its own is refused too, but not locally.
+func TestEvacuationReturnsJobsThatHaveNotBegun(t *testing.T) {
 	c := &handOverCase{t: t, now: time.Unix(1_000_000, 0), dispatcher: New(Limits{Jobs: 10}, rand.New(rand.NewPCG(1, 2)))}
 	c.withWorker(1)
 	c.handle(Submitted{Job: handOverJob("begun"), Waiter: 1}, Submitted{Job: handOverJob("own"), Waiter: 2}, Submitted{Job: handedOverJob("theirs"), Waiter: 3})
@@ -408,14 +408,14 @@
 		}
 	}
 	if want := map[Waiter]bool{2: false, 3: true}; !maps.Equal(refused, want) {
-		t.Errorf("refused, for the entry's own sake or not: %v, want %v", refused, want)
+		t.Errorf("refused waiters and whether locally: %v, want %v", refused, want)
 	}
 	c.handle(Submitted{Job: handedOverJob("later"), Waiter: 4})
 	c.expectRefusal(4)
 }
 
-// TestAJobThatComesBackIsRefusedWhileAllWorkersAreEvacuated hands a job over before the evacuation.
-func TestAJobThatComesBackIsRefusedWhileAllWorkersAreEvacuated(t *testing.T) {
+// A job that was handed over before the evacuation and is refused by the other entry must be refused, not accepted to wait.
+func TestReturnedJobIsRefusedWhileAllWorkersAreEvacuated(t *testing.T) {
 	c := newHandOverCase(t)
 	c.withWorker(2)
 	c.handOver(2)
@@ -431,17 +431,18 @@
 	}
 }
 
-// otherEntry is the entry to which a random schedule hands jobs over.
+// otherEntry simulates the entry to which a random schedule hands jobs over.
 type otherEntry struct {
 	schedule *schedule
-	// due has when it reports on each job again, numbers those of the hand-overs, and taken is set once it has taken the job.
+	// By job: due is the time of its next report on the job, numbers the number of the hand-over, and taken is set once it has taken
+	// the job.
 	due     map[string]time.Time
 	numbers map[string]uint64
 	jobs    map[string]Job
 	taken   map[string]bool
-	// lastLeft is the job that was withdrawn, lost or interrupted last, so that its runs may continue.
+	// lastLeft is the job withdrawn, lost or interrupted last, whose runs may continue.
 	lastLeft string
-	// ended are the results of earlier hand-overs, which may be reported again.
+	// ended holds the results of earlier hand-overs, which may be reported again.
 	ended []HandOverEnded
 }
 
@@ -449,7 +450,7 @@
 	return &otherEntry{schedule: s, due: make(map[string]time.Time), numbers: make(map[string]uint64), jobs: make(map[string]Job), taken: make(map[string]bool)}
 }
 
-// take takes a job. It fails if the job is there already, or was handed over before.
+// take takes a job. It fails if this entry already has the job, or if the job was handed over before.
 func (o *otherEntry) take(job Job, number uint64) {
 	if o.has(job.ID) || job.IsHandedOver {
 		o.schedule.t.Fatalf("job %s was handed over twice", job.ID)
@@ -480,17 +481,17 @@
 	return ok
 }
 
-// withdraw forgets a job. Its answer may be on its way already.
+// withdraw removes a job. Its answer may already be in transit.
 func (o *otherEntry) withdraw(job string) {
 	if number, ok := o.numbers[job]; ok {
 		o.ended = append(o.ended, HandOverEnded{Job: job, Number: number, Result: HandOverAnswered{Answer: NotRun{Reason: "late"}}})
-		o.leaveRuns(job)
+		o.continueRuns(job)
 	}
 	o.forget(job)
 }
 
-// leaveRuns lets the runs of a job continue after its end.
-func (o *otherEntry) leaveRuns(job string) {
+// continueRuns lets the runs of a job continue after the end of its hand-over.
+func (o *otherEntry) continueRuns(job string) {
 	o.lastLeft = job
 	for _, name := range taskNames(o.jobs[job]) {
 		o.schedule.ghosts[name] = o.schedule.now.Add(timing.RerunDelay - time.Millisecond)
@@ -504,7 +505,7 @@
 	delete(o.taken, job)
 }
 
-// act reports on the jobs that are due, and on earlier ones again.
+// act reports on the jobs that are due, and sometimes repeats an earlier report.
 func (o *otherEntry) act() {
 	s := o.schedule
 	if len(o.ended) > 0 && s.chance(0.1) {
@@ -536,7 +537,7 @@
 func (o *otherEntry) end(id string, result HandOverResult) {
 	ended := HandOverEnded{Job: id, Number: o.numbers[id], Result: result}
 	if _, isLost := result.(HandOverLost); isLost || result == (HandOverAnswered{Answer: Interrupted{}}) {
-		o.leaveRuns(id)
+		o.continueRuns(id)
 	}
 	o.forget(id)
 	o.schedule.handle(ended)
@@ -554,7 +555,7 @@
 			t.Fatalf("seed %d: %d callers were not answered", seed, len(s.waiting))
 		}
 		if jobs, waiting, _ := s.dispatcher.Counts(); jobs > 0 || waiting > 0 || len(s.other.due) > 0 {
-			t.Fatalf("seed %d: %d jobs are under way at the end, %d of them waiting, %d at the other entry", seed, jobs, waiting, len(s.other.due))
+			t.Fatalf("seed %d: %d jobs are in progress at the end, %d of them waiting, %d at the other entry", seed, jobs, waiting, len(s.other.due))
 		}
 	}
 }
--- a/internal/dispatch/headroom_test.go
+++ b/internal/dispatch/headroom_test.go
@@ -14,27 +14,27 @@
 	"sailhead/internal/worker"
 )
 
-// keptRoom is the load of a worker of four cores of which two are free, and kept for tasks of up to 120 ms.
-func keptRoom() runner.Load {
+// loadWithHeadroom returns the load of a worker with four cores, of which two are headroom for tasks of up to 120 ms.
+func loadWithHeadroom() runner.Load {
 	return runner.Load{
 		Accepts: true, Slowness: 1, Used: worker.Resources{CPU: 2000},
 		Headroom: []shares.Bound{{LongerThan: 120 * time.Millisecond, CPU: 2000}},
 	}
 }
 
-// agentWithRack adds an agent whose worker has four cores in a rack.
+// agentWithRack adds an agent whose worker has four cores and is in the given rack.
 func agentWithRack(d *Dispatcher, now time.Time, rack string, load runner.Load) {
 	id := AgentID("agent-" + rack)
 	record := worker.Record{ID: rack, Service: "svc", Capacity: worker.Resources{CPU: 4000}, Labels: []string{rack}}
 	d.Handle(now, AgentUp{Agent: id}, WorkerDescribed{Agent: id, Record: record}, LoadReceived{Agent: id, Load: load})
 }
 
-// TestAShortJobUsesKeptRoomThoughLongOnesWait submits a short job behind some long ones, which have to leave free all that is free.
-func TestAShortJobUsesKeptRoomThoughLongOnesWait(t *testing.T) {
+// Long jobs that wait because they must leave the headroom free must not keep a short job from using it.
+func TestShortJobUsesHeadroomWhileLongJobsWait(t *testing.T) {
 	for _, waiting := range []int{0, 1, 2, 5} {
 		now := time.Unix(1_000_000, 0)
 		d := New(Limits{Jobs: 10}, rand.New(rand.NewPCG(1, 2)))
-		agentWithRack(d, now, "r1", keptRoom())
+		agentWithRack(d, now, "r1", loadWithHeadroom())
 		submit := func(name string, priority int, expected time.Duration) []Effect {
 			kind := Kind{Name: name, Service: "svc", Priority: priority, Stretch: 1.6, Target: time.Second}
 			step := Step{Count: 1, Needs: worker.Resources{CPU: 1000}, Expected: expected}
@@ -42,18 +42,18 @@
 		}
 		for i := range waiting {
 			if hasStart(submit(fmt.Sprint("long-", i), 0, 900*time.Millisecond)) {
-				t.Fatalf("long job %d was started on room that is kept", i)
+				t.Fatalf("long job %d was started in the headroom for shorter tasks", i)
 			}
 		}
 		if !hasStart(submit("short", 1, 60*time.Millisecond)) {
-			t.Errorf("the short job was not started while %d long ones wait", waiting)
+			t.Errorf("the short job was not started while %d long jobs wait", waiting)
 		}
 	}
 }
 
-// TestATaskFarFromItsDataLeavesRoomAsALongOne submits a job to a dispatcher whose only free worker is far from its data and keeps room for tasks that
-// are shorter than it is there. An agent would reject its start.
-func TestATaskFarFromItsDataLeavesRoomAsALongOne(t *testing.T) {
+// The estimate of a task away from its data includes the longer duration there. If it used the short one, the dispatcher would send a
+// start into the headroom for shorter tasks, and the agent would reject it.
+func TestTaskInAnotherRackLeavesHeadroomByItsLongerEstimate(t *testing.T) {
 	for _, test := range []struct {
 		rack     string
 		isStart  bool
@@ -64,7 +64,7 @@
 	} {
 		now := time.Unix(1_000_000, 0)
 		d := New(Limits{Jobs: 10, CrossRackFactor: 3}, rand.New(rand.NewPCG(1, 2)))
-		agentWithRack(d, now, "r1", keptRoom())
+		agentWithRack(d, now, "r1", loadWithHeadroom())
 		kind := Kind{Name: "kind", Service: "svc", Stretch: 1.6, Target: time.Second}
 		step := Step{Count: 1, Needs: worker.Resources{CPU: 1000}, Expected: 60 * time.Millisecond, Rack: test.rack}
 		effects := d.Handle(now, Submitted{Job: Job{ID: "j", Kind: kind, Steps: []Step{step}}, Waiter: 1})
@@ -72,15 +72,15 @@
 			t.Errorf("data in %s: a start was sent: %t, want %t", test.rack, !test.isStart, test.isStart)
 		}
 		if got := reservedEstimate(effects); got != test.estimate {
-			t.Errorf("data in %s: the reservation tells an estimate of %v, want %v", test.rack, got, test.estimate)
+			t.Errorf("data in %s: the reservation has an estimate of %v, want %v", test.rack, got, test.estimate)
 		}
 		if room := d.hasRoomFor(d.newJob(now, Job{ID: "k", Kind: kind, Steps: []Step{step}})); room != test.isStart {
-			t.Errorf("data in %s: there is room for another job: %t, want %t", test.rack, room, test.isStart)
+			t.Errorf("data in %s: hasRoomFor another job is %t, want %t", test.rack, room, test.isStart)
 		}
 	}
 }
 
-// reservedEstimate returns the estimated time that a reservation tells, zero if there is none.
+// reservedEstimate returns the estimated duration in the first reservation, or zero if there is none.
 func reservedEstimate(effects []Effect) time.Duration {
 	for _, effect := range effects {
 		if e, ok := effect.(Reserve); ok {
@@ -90,8 +90,8 @@
 	return 0
 }
 
-// TestAJobDoesNotWaitForWorkersThatCannotRunIt submits a job that would be late on the only worker with its label. Others are fast enough.
-func TestAJobDoesNotWaitForWorkersThatCannotRunIt(t *testing.T) {
+// A job that would be late on the only worker with its label must not wait for faster workers without the label.
+func TestJobDoesNotWaitForWorkersThatCannotRunIt(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	d := New(Limits{Jobs: 10}, rand.New(rand.NewPCG(1, 2)))
 	agentWithRack(d, now, "label", runner.Load{Accepts: true, Slowness: 1, TimeFactor: 4})
--- a/internal/dispatch/return_test.go
+++ b/internal/dispatch/return_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newSeededRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// overload plays a service that does 10 jobs a second, of one core-second each, while 20 a second are refused, and returns after
-// which time from the start each of the refused callers returns.
-func overload(p *returnPlan, start time.Time, length time.Duration) []time.Duration {
+// simulateOverload simulates a service that completes 10 jobs per second, of one core-second each, and refuses 20 per second. It
+// returns the time from the start after which each refused caller returns.
+func simulateOverload(p *returnPlan, start time.Time, length time.Duration) []time.Duration {
 	const one = work(1000)
 	var returns []time.Duration
 	for at := time.Duration(0); at < length; at += 50 * time.Millisecond {
@@ -22,24 +22,24 @@
 		if at%(100*time.Millisecond) == 0 {
 			p.done(now, one)
 		}
-		if wait, ok := p.plan(now, one, seeded()); ok {
+		if wait, ok := p.plan(now, one, newSeededRandom()); ok {
 			returns = append(returns, at+wait)
 		}
 	}
 	return returns
 }
 
-// TestRefusedCallersReturnInTheirOrder plays the pattern of a burst beyond all cores. Callers that return in the order of their
-// refusal, and no faster than a quarter of the rate of work, make no second burst.
-func TestRefusedCallersReturnInTheirOrder(t *testing.T) {
+// Callers refused in a burst cause a second burst if they return together. They must return in the order of their refusals, at no
+// more than a quarter of the rate of work.
+func TestRefusedCallersReturnInOrder(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var p returnPlan
 	for range 100 {
 		p.done(start, 200)
 	}
-	returns := overload(&p, start, time.Second)
+	returns := simulateOverload(&p, start, time.Second)
 	if len(returns) < 15 || !slices.IsSorted(returns) {
-		t.Fatalf("%d callers, in order: %t", len(returns), slices.IsSorted(returns))
+		t.Fatalf("%d callers return, in order: %t; want at least 15 in order", len(returns), slices.IsSorted(returns))
 	}
 	perSecond := make(map[int]int)
 	for _, at := range returns {
@@ -51,39 +51,39 @@
 		}
 	}
 	if last := returns[len(returns)-1]; last > 11*time.Second {
-		t.Errorf("the last caller returns after %s", last)
+		t.Errorf("the last caller returns after %s, want 11s at most", last)
 	}
 }
 
 func TestRefusedCallersReturnWithinTheBounds(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var p returnPlan
-	if _, ok := p.plan(start, 1000, seeded()); ok {
-		t.Error("a time was planned although no work was done")
+	if _, ok := p.plan(start, 1000, newSeededRandom()); ok {
+		t.Error("a return time was given although no work was done")
 	}
 	p.done(start, 4000)
 	for i := range 1000 {
-		wait, ok := p.plan(start, 100, seeded())
+		wait, ok := p.plan(start, 100, newSeededRandom())
 		if !ok || wait < RetryAfter || wait > maxRetryAfter {
-			t.Fatalf("caller %d: %s, %t", i, wait, ok)
+			t.Fatalf("caller %d: got %s, %t, want a time from RetryAfter to maxRetryAfter", i, wait, ok)
 		}
 	}
-	if _, ok := p.plan(start.Add(time.Minute), 1000, seeded()); ok {
-		t.Error("a time was planned on work of a minute ago")
+	if _, ok := p.plan(start.Add(time.Minute), 1000, newSeededRandom()); ok {
+		t.Error("a return time was based on work of a minute ago")
 	}
 }
 
 // A caller refused after a pause does not wait for those before the pause.
-func TestReturnsDoNotAddUpOverPauses(t *testing.T) {
+func TestReturnTimesDoNotAccumulateOverPauses(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var p returnPlan
 	p.done(start, 8000)
 	for range 3 {
-		p.plan(start, 100, seeded())
+		p.plan(start, 100, newSeededRandom())
 	}
 	later := start.Add(8 * time.Second)
 	p.done(later, 8000)
-	if wait, ok := p.plan(later, 100, seeded()); !ok || wait != RetryAfter {
-		t.Errorf("%s, %t, want %s", wait, ok, RetryAfter)
+	if wait, ok := p.plan(later, 100, newSeededRandom()); !ok || wait != RetryAfter {
+		t.Errorf("got %s, %t, want %s", wait, ok, RetryAfter)
 	}
 }
