--- a/internal/dispatch/ejection.go
+++ b/internal/dispatch/ejection.go
@@ -20,7 +20,7 @@
 // other workers (plan.go), and their agents are told to ignore the ejection. If all are ejected, they get the other tasks too.
 //
 // Reason: a worker whose tasks fail is free again at once, so it attracts waiting tasks as soon as the others are full, and jobs
-// use up their attempts there. But rarely do that many workers become unhealthy independently of each other: the common cause may
+// use up their attempts there. But so many workers rarely become unhealthy independently of each other: the common cause may
 // be a kind that fails everywhere or a rack that is far from its data, and a wrong decision must not take all workers of a site
 // out of service. If all are ejected, a task without another attempt has no other worker to wait for.
 
--- a/internal/dispatch/evacuation.go
+++ b/internal/dispatch/evacuation.go
@@ -25,13 +25,13 @@
 func (d *Dispatcher) evacuationsChanged(now time.Time, state evacuation.State) {
 	d.evacuations = d.evacuations.Merge(state)
 	for _, a := range d.ordered {
-		is := d.evacuations.Has(a.record.Zone)
-		if is == a.evacuated {
+		isEvacuated := d.evacuations.Has(a.record.Zone)
+		if isEvacuated == a.evacuated {
 			continue
 		}
-		a.evacuated = is
+		a.evacuated = isEvacuated
 		d.agentsChanged()
-		if is {
+		if isEvacuated {
 			d.cancelReservationsAt(a.id)
 		}
 	}
