--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -15,31 +15,31 @@
 	Agent       AgentID
 	Incarnation worker.Incarnation
 	Run         uint32
-	// WasRunning is set if the run was running for certain, and IsLatest if besides no start was sent to the worker after its own.
+	// WasRunning is set if the run was running for certain. IsLatest is set if in addition no later start was sent to the worker.
 	WasRunning bool
 	IsLatest   bool
-	// Age is the time from when its start was sent until the worker crashed, which may be too long by AgeError.
+	// Age is the time from sending the start until the crash of the worker. It may be too long by AgeError.
 	Age, AgeError time.Duration
-	// others tells how many workers crashed for other causes than tasks at that time (crashhistory.go).
+	// others is the level of crashes with causes other than tasks at that time (crashhistory.go).
 	others otherCauses
 }
 
-// suspicion is what is known of a task under which workers have crashed.
+// suspicion holds the crashes of workers under a task.
 type suspicion struct {
-	// crashes has one crash for each incarnation.
+	// crashes has one crash per incarnation.
 	crashes []Crash
-	// latest is when the latest crash was reported.
+	// latest is the time at which the latest crash was reported.
 	latest time.Time
 }
 
-// suspects holds the tasks under which workers have crashed, by their names.
+// suspects holds the tasks under which workers have crashed, by task name.
 type suspects map[string]suspicion
 
-// isConclusive reports whether the crash needs no third one if an earlier one was like it.
+// isConclusive reports whether no third crash is needed if an earlier one was similar.
 func (c Crash) isConclusive() bool { return c.IsLatest && c.others == noOtherCauses }
 
-// learn adds what another report of the same crash tells, and returns false if that is nothing new.
-func (c *Crash) learn(again Crash) bool {
+// merge merges another report of the same crash. It returns false if the report adds nothing.
+func (c *Crash) merge(again Crash) bool {
 	isNew := again.WasRunning && !c.WasRunning || again.IsLatest && !c.IsLatest
 	if isNew {
 		c.Age, c.AgeError = again.Age, again.AgeError
@@ -49,22 +49,22 @@
 	return isNew
 }
 
-// add counts a crash. It returns false if that tells nothing new.
+// add records a crash. It returns false if the crash is known and the report adds nothing.
 func (s suspects) add(now time.Time, task string, crash Crash) bool {
 	known := s[task]
 	isSame := func(other Crash) bool { return other.Agent == crash.Agent && other.Incarnation == crash.Incarnation }
 	if at := slices.IndexFunc(known.crashes, isSame); at >= 0 {
-		return known.crashes[at].learn(crash)
+		return known.crashes[at].merge(crash)
 	}
 	if len(known.crashes) == 0 && len(s) >= maxSuspects {
-		s.forgetOldest()
+		s.removeOldest()
 	}
 	s[task] = suspicion{crashes: append(known.crashes, crash), latest: now}
 	return true
 }
 
-// forgetOldest removes the task whose latest crash is the oldest.
-func (s suspects) forgetOldest() {
+// removeOldest removes the task whose latest crash is the oldest.
+func (s suspects) removeOldest() {
 	var oldest string
 	for task, known := range s {
 		if oldest == "" || known.latest.Before(s[oldest].latest) {
@@ -74,8 +74,8 @@
 	delete(s, oldest)
 }
 
-// forgetBefore removes the tasks whose latest crash was before a time.
-func (s suspects) forgetBefore(limit time.Time) {
+// removeBefore removes the tasks whose latest crash was before the limit.
+func (s suspects) removeBefore(limit time.Time) {
 	for task, known := range s {
 		if known.latest.Before(limit) {
 			delete(s, task)
@@ -88,14 +88,14 @@
 	return len(s[task].crashes) > 0
 }
 
-// mustGiveUp reports whether so many workers have crashed under a task that it is not run again.
+// mustGiveUp reports whether enough workers have crashed under a task that it must not run again.
 func (s suspects) mustGiveUp(task string) bool {
 	crashes, certain := s[task].crashes, s.certain(task)
-	return len(crashes) >= maxPossibleCrashes || len(certain) >= maxCrashes || haveOneCause(certain) || haveLikelyCause(crashes)
+	return len(crashes) >= maxPossibleCrashes || len(certain) >= maxCrashes || haveCommonCause(certain) || haveLikelyCause(crashes)
 }
 
-// haveOneCause reports whether the task has caused crashes under it, as far as is known.
-func (s suspects) haveOneCause(task string) bool { return haveOneCause(s.certain(task)) }
+// haveCommonCause reports whether the crashes under the task were most likely caused by it.
+func (s suspects) haveCommonCause(task string) bool { return haveCommonCause(s.certain(task)) }
 
 // certain returns the crashes under a task at which its run was running for certain.
 func (s suspects) certain(task string) []Crash {
@@ -108,26 +108,27 @@
 	return certain
 }
 
-// haveOneCause reports whether crashes under a task were most likely caused by it, as its runs had lasted about as long each time: two if
-// the later one is conclusive, or three. The first crash alone says nothing, whether its run was the latest or not: the task was no
-// suspect then, so it was not isolated.
-func haveOneCause(crashes []Crash) bool {
+// haveCommonCause reports whether crashes under a task were most likely caused by it, as its runs had about the same age each time:
+// two crashes if the later one is conclusive, three otherwise. Whether the run at the first crash was the latest on its worker does
+// not matter: the task was no suspect then, so it was not isolated.
+func haveCommonCause(crashes []Crash) bool {
 	for i, later := range crashes {
 		alike := 1
 		for _, earlier := range crashes[:i] {
-			if areAlike(earlier, later) {
+			if haveSimilarAges(earlier, later) {
 				alike++
 			}
 		}
-		if alike >= maxAlikeCrashes || alike >= maxIsolatedCrashes && later.isConclusive() {
+		if alike >= maxSimilarAgeCrashes || alike >= maxIsolatedCrashes && later.isConclusive() {
 			return true
 		}
 	}
 	return false
 }
 
-// haveLikelyCause reports whether a third crash under a task makes it likely that the task has caused all of them: its runs had lasted about as
-// long each time but for the time by which a busy worker or agent is late, and workers do not crash for many other causes.
+// haveLikelyCause reports whether a third crash under a task makes it likely that the task caused all of them: its runs had about
+// the same age each time, with an allowance for the delay of a busy worker or agent, and workers do not crash for many other
+// causes.
 func haveLikelyCause(crashes []Crash) bool {
 	for i, later := range crashes {
 		if later.others == manyOtherCauses {
@@ -135,7 +136,7 @@
 		}
 		alike, certain := 0, 0
 		for _, crash := range crashes[:i+1] {
-			if !areAlikeWithin(lateTolerance, crash, later) {
+			if !haveSimilarAgesWithin(busyAgeTolerance, crash, later) {
 				continue
 			}
 			alike++
@@ -150,11 +151,12 @@
 	return false
 }
 
-// areAlike reports whether the ages of two runs at the crashes of their workers are about the same.
-func areAlike(a, b Crash) bool { return areAlikeWithin(ageTolerance, a, b) }
+// haveSimilarAges reports whether two runs had about the same age at the crashes of their workers.
+func haveSimilarAges(a, b Crash) bool { return haveSimilarAgesWithin(ageTolerance, a, b) }
 
-// areAlikeWithin reports whether the ages of two runs differ by a tolerance at the most, besides ageShare and what agents measure too much.
-func areAlikeWithin(tolerance time.Duration, a, b Crash) bool {
+// haveSimilarAgesWithin reports whether the ages of two runs differ by no more than the tolerance, plus ageShare of the lower age, plus
+// the measuring error of the agents.
+func haveSimilarAgesWithin(tolerance time.Duration, a, b Crash) bool {
 	tolerance += time.Duration(ageShare*float64(min(a.Age, b.Age))) + max(a.AgeError, b.AgeError)
 	return (a.Age - b.Age).Abs() <= tolerance
 }
