--- a/internal/runner/connections_test.go
+++ b/internal/runner/connections_test.go
@@ -21,11 +21,11 @@
 	// delay is the time of a message over the link at present.
 	delay time.Duration
 	// polls are the long polls that wait at the worker, and onTheWay those that have not reached it.
-	polls    map[int]*waitingPoll
-	onTheWay map[int]*waitingPoll
-	last     int
-	// atCrash has the runs that were on each incarnation when it crashed, by the names of their tasks.
-	atCrash map[worker.Incarnation]map[string]uint32
+	polls     map[int]*waitingPoll
+	inTransit map[int]*waitingPoll
+	last      int
+	// runsAtCrash has the runs that were on each incarnation when it crashed, by the names of their tasks.
+	runsAtCrash map[worker.Incarnation]map[string]uint32
 	// resubmitted are the tasks that a second entry has started again under the same name and run number.
 	resubmitted map[string]bool
 	// certain counts the runs that were reported as running for certain, and possible the others.
@@ -42,10 +42,10 @@
 func (s *schedule) connect(seed uint64) *connections {
 	c := &connections{
 		schedule: s, random: rand.New(rand.NewPCG(seed, 5)), delay: minLinkDelay, polls: make(map[int]*waitingPoll),
-		onTheWay: make(map[int]*waitingPoll), resubmitted: make(map[string]bool), atCrash: make(map[worker.Incarnation]map[string]uint32),
+		inTransit: make(map[int]*waitingPoll), resubmitted: make(map[string]bool), runsAtCrash: make(map[worker.Incarnation]map[string]uint32),
 	}
 	s.connections = c
-	c.disturb()
+	c.scheduleFaults()
 	return c
 }
 
@@ -57,8 +57,8 @@
 	shortestRun = 100 * time.Millisecond
 )
 
-// disturb makes the link slow or quick, resets the long polls, and crashes the worker, now and then.
-func (c *connections) disturb() {
+// scheduleFaults makes the link slow or quick, resets the long polls, and crashes the worker, now and then.
+func (c *connections) scheduleFaults() {
 	c.after(time.Duration(c.random.Int64N(int64(600*time.Millisecond))), func() {
 		switch c.random.IntN(4) {
 		case 0:
@@ -70,7 +70,7 @@
 		case 3:
 			c.newIncarnation()
 		}
-		c.disturb()
+		c.scheduleFaults()
 	})
 }
 
@@ -111,13 +111,13 @@
 	for name, r := range w.runs {
 		runs[name] = r.run
 	}
-	c.atCrash[w.incarnation()] = runs
+	c.runsAtCrash[w.incarnation()] = runs
 	c.closePolls(worker.Unanswered{Reason: "the connection was closed", IsClosed: true})
 }
 
 // closePolls closes the connections of all long polls, also of those that have not reached the worker.
 func (c *connections) closePolls(result worker.Unanswered) {
-	for _, polls := range []map[int]*waitingPoll{c.polls, c.onTheWay} {
+	for _, polls := range []map[int]*waitingPoll{c.polls, c.inTransit} {
 		for _, id := range slices.Sorted(maps.Keys(polls)) {
 			p := polls[id]
 			delete(polls, id)
@@ -141,13 +141,13 @@
 	c.last++
 	id := c.last
 	if e.Renew.Wait > 0 {
-		c.onTheWay[id] = &waitingPoll{call: e, answer: answer}
+		c.inTransit[id] = &waitingPoll{call: e, answer: answer}
 	}
 	c.after(delay, func() {
-		if _, isOpen := c.onTheWay[id]; e.Renew.Wait > 0 && !isOpen {
+		if _, isOpen := c.inTransit[id]; e.Renew.Wait > 0 && !isOpen {
 			return
 		}
-		delete(c.onTheWay, id)
+		delete(c.inTransit, id)
 		result := c.worker.list(c.now, e.Incarnation, e.Renew)
 		if listing, ok := result.(worker.Listing); !ok || e.Renew.Wait == 0 || len(listing.Ended) > 0 {
 			answer(result)
@@ -178,7 +178,7 @@
 
 // check checks a report of a crash: what was running for certain was on the worker.
 func (c *connections) check(crash Crash) {
-	runs, isKnown := c.atCrash[crash.Incarnation]
+	runs, isKnown := c.runsAtCrash[crash.Incarnation]
 	if !isKnown {
 		return
 	}
--- a/internal/runner/containment.go
+++ b/internal/runner/containment.go
@@ -37,7 +37,7 @@
 func (r *Runner) occupy(now time.Time, t *task) {
 	w := r.worker
 	w.used = w.used.Plus(t.Needs)
-	w.countUse(t.Kind, t.Needs.CPU)
+	w.addUsage(t.Kind, t.Needs.CPU)
 	r.sharing.areBoundsDue = true
 	if t.IsContained && w.contained.id != t.job() {
 		w.contained = containedJob{id: t.job(), began: now, isIsolated: true}
@@ -52,7 +52,7 @@
 func (r *Runner) vacate(t *task) {
 	w := r.worker
 	w.used = w.used.Minus(t.Needs)
-	w.countUse(t.Kind, -t.Needs.CPU)
+	w.addUsage(t.Kind, -t.Needs.CPU)
 	r.sharing.areBoundsDue = true
 	r.settleCharge(r.now, t)
 	if w.contained.id == t.job() {
--- a/internal/runner/crash.go
+++ b/internal/runner/crash.go
@@ -66,14 +66,14 @@
 	at    time.Time
 }
 
-// mayHaveCrashed reports whether the run of an active task may have caused a crash: one whose start is under way, or was when the
+// mayHaveCausedCrash reports whether the run of an active task may have caused a crash: one whose start is under way, or was when the
 // process before this one ended, has most likely not begun.
-func (t *task) mayHaveCrashed() bool {
+func (t *task) mayHaveCausedCrash() bool {
 	return t.state != stateStarting && t.state != stateRestarted
 }
 
 // crashedRuns returns those of the active tasks' runs that may have caused a crash. late is by how much the agent may be late.
-func (i *incarnation) crashedRuns(active []*task, evidence crashEvidence, late time.Duration) []CrashedRun {
+func (i *incarnation) crashedRuns(active []*task, evidence crashEvidence, maxDelay time.Duration) []CrashedRun {
 	var latest *task
 	for _, t := range active {
 		if latest == nil || t.startNumber > latest.startNumber {
@@ -82,13 +82,13 @@
 	}
 	var runs []CrashedRun
 	for _, t := range active {
-		if !t.mayHaveCrashed() {
+		if !t.mayHaveCausedCrash() {
 			continue
 		}
 		wasRunning := evidence.wasRunning(t)
 		runs = append(runs, CrashedRun{
-			RunID: t.id(), Kind: t.Kind, Age: evidence.ageOf(t), AgeError: max(late, t.startTook),
-			WasRunning: wasRunning, IsLatest: wasRunning && t == latest, IsIsolated: i.wasIsolated(t, evidence.at),
+			RunID: t.id(), Kind: t.Kind, Age: evidence.ageOf(t), AgeError: max(maxDelay, t.startTook),
+			WasRunning: wasRunning, IsLatest: wasRunning && t == latest, IsIsolated: i.wasIsolated(t, evidence.estimatedAt),
 		})
 	}
 	return runs
--- a/internal/runner/ejection.go
+++ b/internal/runner/ejection.go
@@ -23,8 +23,8 @@
 // ejectionState is what the runner keeps for the ejection of its worker, over all incarnations. The zero value is that of a worker in service.
 type ejectionState struct {
 	detector ejection.Detector
-	// isTold is set while what entries were told last is that the worker is ejected.
-	isTold bool
+	// isAnnounced is set while what entries were told last is that the worker is ejected.
+	isAnnounced bool
 	// kindRates are the shares of the runs of each kind that fail elsewhere, as entries told them last.
 	kindRates map[string]float64
 }
@@ -74,8 +74,8 @@
 // applyEjection applies a change of whether the worker is ejected, and offers the probes that are due.
 func (r *Runner) applyEjection(now time.Time) {
 	isEjected := r.isEjected()
-	if isEjected != r.ejection.isTold {
-		r.ejection.isTold = isEjected
+	if isEjected != r.ejection.isAnnounced {
+		r.ejection.isAnnounced = isEjected
 		r.ejectionChanged(now, isEjected)
 	}
 	if !isEjected {
@@ -83,7 +83,7 @@
 	}
 	r.rejectQueued(reasonEjected, func(t *task) bool { return !t.IgnoresEjection && !t.isProbe })
 	if !r.ejection.detector.IsProbing() {
-		r.endProbes()
+		r.withdrawProbes()
 		return
 	}
 	r.offerProbes(now)
@@ -96,7 +96,7 @@
 	}
 	at, reason, kinds := r.ejection.detector.Ejection()
 	if !isEjected {
-		r.forgetProbeRuns()
+		r.clearProbes()
 		r.emit(WorkerRestored{After: now.Sub(at)})
 		return
 	}
--- a/internal/runner/evidence.go
+++ b/internal/runner/evidence.go
@@ -24,10 +24,10 @@
 // goes on without an answer to anything until it crashes.
 
 const (
-	// shortestTask is how long a task takes at least. Source: the users' brief, by which tasks last 50 to 500 ms.
-	shortestTask = 50 * time.Millisecond
-	// minSureTime is how long a run surely runs, whatever is known of its kind: half of shortestTask, as workers are faster or slower.
-	minSureTime = shortestTask / 2
+	// minTaskTime is how long a task takes at least. Source: the users' brief, by which tasks last 50 to 500 ms.
+	minTaskTime = 50 * time.Millisecond
+	// minCertainRunTime is how long a run surely runs, whatever is known of its kind: half of shortestTask, as workers are faster or slower.
+	minCertainRunTime = minTaskTime / 2
 	// sureDivisor is the part of its usual time, one in so many, for which a run surely runs. Source: the guesses of
 	// the users' callers are off by 40 %, so a job in three takes 1.5 times less or more than usual, and one in 170 three times.
 	sureDivisor = 3
@@ -42,20 +42,20 @@
 	maxAnswerAge = 150 * time.Millisecond
 	// minPollTime is how long a long poll must have been under way to have reached the worker, and pollTrips how many round trips, of the
 	// latest call before it ended and of the one after it: it reaches the worker in half of one, and a link may be slower than a moment ago.
-	minPollTime = 5 * time.Millisecond
-	pollTrips   = 2
+	minPollTime    = 5 * time.Millisecond
+	pollRoundTrips = 2
 	// minWaitedTime is the same if another process answers it: no call after it tells how slow the link is.
 	minWaitedTime = 50 * time.Millisecond
-	// maxQuickTrip is the longest round trip with which a connection that is closed shows at once. Ten times what a call to the worker on the
+	// maxLowLatencyTrip is the longest round trip with which a connection that is closed shows at once. Ten times what a call to the worker on the
 	// same VM takes.
-	maxQuickTrip = 10 * time.Millisecond
+	maxLowLatencyTrip = 10 * time.Millisecond
 	// maxClockError is how much the worker's clock in an answer may differ from what earlier answers let expect, for both to come from one
 	// process: the way of two answers over a busy VM, and the drift between them.
 	maxClockError = 100 * time.Millisecond
 )
 
-// closing is how the worker's connections have ended since it last answered. The zero value is that none has.
-type closing struct {
+// connectionLoss is how the worker's connections have ended since it last answered. The zero value is that none has.
+type connectionLoss struct {
 	// at is when the first one was closed or reset, and byPeerAt when the first one ended with the process.
 	at, byPeerAt time.Time
 	// pollAt is when a long poll that had waited at the worker ended with it, zero if none did.
@@ -80,12 +80,12 @@
 // noteAlive notes that the worker has answered a call that was sent at a time: if connections were closed before that, it had not crashed.
 func (i *incarnation) noteAlive(sent time.Time) {
 	if !sent.Before(i.closing.at) {
-		i.closing = closing{}
+		i.closing = connectionLoss{}
 	}
 }
 
-// isQuick reports whether calls to the worker are so quick that a connection which it closes shows at once.
-func (i *incarnation) isQuick() bool { return i.roundTrip > 0 && i.roundTrip <= maxQuickTrip }
+// isLowLatency reports whether calls to the worker are so quick that a connection which it closes shows at once.
+func (i *incarnation) isLowLatency() bool { return i.roundTrip > 0 && i.roundTrip <= maxLowLatencyTrip }
 
 // notePollEnded notes that a long poll ended with the process at which it waited: that has closed the connection, or another process answers.
 // It does so only if the poll had reached the process and that had answered until then.
@@ -94,7 +94,7 @@
 	if _, isAnswered := e.Result.(worker.WrongIncarnation); isAnswered {
 		least = minWaitedTime
 	}
-	hasArrived := e.Took >= max(least, pollTrips*i.roundTrip)
+	hasArrived := e.Took >= max(least, pollRoundTrips*i.roundTrip)
 	if hasArrived && i.closing.pollAt.IsZero() && e.Ended.Sub(i.lastAlive()) <= maxAnswerAge {
 		i.closing.pollAt, i.closing.pollTook = e.Ended, e.Took
 		if i.closing.byPeerAt.IsZero() {
@@ -105,7 +105,7 @@
 
 // hadLongPoll reports whether a long poll had reached the process with which it ended, also by the calls since.
 func (i *incarnation) hadLongPoll() bool {
-	return !i.closing.pollAt.IsZero() && i.closing.pollTook >= pollTrips*i.roundTrip
+	return !i.closing.pollAt.IsZero() && i.closing.pollTook >= pollRoundTrips*i.roundTrip
 }
 
 // noteTrip notes how long a call took that was answered at once, by whichever process, or refused.
@@ -135,13 +135,15 @@
 	return i.lastAnswered
 }
 
-// hasLivedLong reports whether the incarnation has lived for so long that its clock differs from that of the next process of its ID, which
+// clockIdentifiesProcess reports whether the incarnation has lived for so long that its clock differs from that of the next process of its ID, which
 // begins anew.
-func (i *incarnation) hasLivedLong() bool { return i.lastAnswered.Sub(i.firstSeen) > 2*maxClockError }
+func (i *incarnation) clockIdentifiesProcess() bool {
+	return i.lastAnswered.Sub(i.firstSeen) > 2*maxClockError
+}
 
 // isOnClock reports whether the clock in a reply is that of the incarnation, as far as its clock tells processes of one ID apart.
 func (i *incarnation) isOnClock(reply worker.Reply) bool {
-	if reply.Clock == 0 || !i.hasLivedLong() {
+	if reply.Clock == 0 || !i.clockIdentifiesProcess() {
 		return false
 	}
 	expected := i.listed.Clock + reply.Received.Sub(i.listed.Received)
@@ -150,35 +152,35 @@
 
 // crashEvidence is what is known of the end of an incarnation that has crashed.
 type crashEvidence struct {
-	// at is when the worker most likely crashed, and before when it had for certain, unless a long poll waited there.
-	at, before time.Time
+	// estimatedAt is when the worker most likely crashed, and latestAt when it had for certain, unless a long poll waited there.
+	estimatedAt, latestAt time.Time
 	// hadLongPoll is set if a long poll waited at the worker, which would have told of an end before.
 	hadLongPoll bool
 	// mayKeepID is set if a later process of the ID may have accepted a run. aliveAt is when the incarnation is known to have been
 	// there for the last time.
-	mayKeepID bool
-	aliveAt   time.Time
+	mayKeepID     bool
+	lastSeenAlive time.Time
 	// refusedAt is when a call was made for which nobody listened, zero for never.
 	refusedAt time.Time
 }
 
 // evidence returns what is known of the crash of the incarnation if it is noticed now, by the given end.
 func (i *incarnation) evidence(now time.Time, end incarnationEnd) crashEvidence {
-	evidence := crashEvidence{at: now, before: now, mayKeepID: i.tellsStart() && end.mayKeepID(), aliveAt: i.lastAnswered}
+	evidence := crashEvidence{estimatedAt: now, latestAt: now, mayKeepID: i.tellsStart() && end.mayKeepID(), lastSeenAlive: i.lastAnswered}
 	if end == endNotListening {
 		evidence.refusedAt = i.refusedAt
 	}
-	if i.isQuick() && i.closing.byPeerAt.After(i.lastAnswered) {
-		evidence.aliveAt = i.closing.byPeerAt
+	if i.isLowLatency() && i.closing.byPeerAt.After(i.lastAnswered) {
+		evidence.lastSeenAlive = i.closing.byPeerAt
 	}
 	closed := i.closing.byPeerAt
 	if closed.IsZero() || now.Sub(closed) > maxClosedTime {
 		return evidence
 	}
-	evidence.at = closed
+	evidence.estimatedAt = closed
 	evidence.hadLongPoll = i.hadLongPoll()
 	if now.Sub(closed) <= maxConfirmTime {
-		evidence.before = closed
+		evidence.latestAt = closed
 	}
 	return evidence
 }
@@ -195,23 +197,23 @@
 }
 
 // ageOf returns how long before the crash the start of a run was sent, zero if it was sent after that. The run itself is younger.
-func (e crashEvidence) ageOf(t *task) time.Duration { return max(e.at.Sub(t.sent), 0) }
+func (e crashEvidence) ageOf(t *task) time.Duration { return max(e.estimatedAt.Sub(t.sent), 0) }
 
 // wasRunning reports whether the run of an active task was running for certain when the worker crashed.
 func (e crashEvidence) wasRunning(t *task) bool {
 	mayHaveStopped := t.state == stateStopping
-	cannotHaveEnded := !mayHaveStopped && e.before.Sub(t.sent) <= t.surelyRuns()
+	cannotHaveEnded := !mayHaveStopped && e.latestAt.Sub(t.sent) <= t.certainRunTime()
 	return t.hasBegun && e.isOfIncarnation(t) && (e.hadLongPoll || cannotHaveEnded)
 }
 
 // isOfIncarnation reports whether the run of a task was confirmed by the incarnation that crashed and not by a later one that lives on.
 func (e crashEvidence) isOfIncarnation(t *task) bool {
-	return !e.mayKeepID || t.isOnClock || t.confirmedAt.Before(e.aliveAt) || t.confirmedAt.Before(e.refusedAt)
+	return !e.mayKeepID || t.isOnClock || t.confirmedAt.Before(e.lastSeenAlive) || t.confirmedAt.Before(e.refusedAt)
 }
 
-// surelyRuns returns for how long a run of the task surely runs after its start was sent.
-func (t *task) surelyRuns() time.Duration {
-	return max(minSureTime, t.usualTime()/sureDivisor)
+// certainRunTime returns for how long a run of the task surely runs after its start was sent.
+func (t *task) certainRunTime() time.Duration {
+	return max(minCertainRunTime, t.usualTime()/sureDivisor)
 }
 
 // usualTime returns the usual run time of the task as entries have learned it, or else as its caller guesses.
--- a/internal/runner/health_test.go
+++ b/internal/runner/health_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestAHangingWorkerIsTriedAgainAfterTwoSeconds(t *testing.T) {
+func TestHungWorkerIsRetriedAfterTwoSeconds(t *testing.T) {
 	const unhealthy = 2.5 // maxSlowness of package dispatch
 	now := time.Unix(1000, 0)
 	began := 100 * time.Millisecond
--- a/internal/runner/incarnation.go
+++ b/internal/runner/incarnation.go
@@ -43,7 +43,7 @@
 	// askedAt is when the first renewal after that was sent that is no long poll, zero if none was: nothing is known then.
 	askedAt time.Time
 	// closing is how the worker has closed its connections since then.
-	closing closing
+	closing connectionLoss
 	// roundTrip is how long the latest renewal took that was answered at once or refused. Zero before the first one.
 	roundTrip time.Duration
 	// lastRenewal is when a lease was last requested, by a start or a renewal. Zero before the first one.
@@ -62,8 +62,8 @@
 	orphans map[string]*stop
 	// isSurveyed is set once all runs that an earlier process may have left are known; see orphan.go.
 	isSurveyed bool
-	// tellsProgress is set once the worker has listed a run with some progress.
-	tellsProgress bool
+	// reportsProgress is set once the worker has listed a run with some progress.
+	reportsProgress bool
 	// wasUnresponsive is whether the worker did not respond at the latest tick.
 	wasUnresponsive bool
 	// unhealthyUntil is when a worker that rejected a call as unhealthy accepts tasks again.
@@ -87,9 +87,9 @@
 // tellsStart reports whether the worker tells when its process started. One that does may start again under its ID.
 func (i *incarnation) tellsStart() bool { return i.record.StartedMillis != 0 }
 
-// countUse adds CPU, in thousandths of a core, to what the active tasks of a kind need. Kinds that need none are forgotten, as their names
+// addUsage adds CPU, in thousandths of a core, to what the active tasks of a kind need. Kinds that need none are forgotten, as their names
 // come from entries.
-func (i *incarnation) countUse(kind string, cpu int) {
+func (i *incarnation) addUsage(kind string, cpu int) {
 	i.usedByKind[kind] += cpu
 	if i.usedByKind[kind] == 0 {
 		delete(i.usedByKind, kind)
@@ -118,7 +118,7 @@
 	case r.hasEnded(record.Incarnation()):
 	case r.worker == nil:
 		r.beginIncarnation(now, record)
-	case r.isWithoutStart(record):
+	case r.lacksStartTime(record):
 	case !r.isCurrent(record.Incarnation()):
 		r.handleUnknownIncarnation(record)
 	case r.worker.isDescribed && !r.worker.record.HasServiceAndZoneOf(record):
@@ -262,7 +262,7 @@
 	evidence, active := ended.evidence(now, end), r.active()
 	r.observeIncarnationEnd(now, ended, isCrash)
 	if isCrash {
-		r.reportCrash(now, Crash{Incarnation: id, Runs: ended.crashedRuns(active, evidence, r.lateness.most(now.Sub(r.lastTick)))})
+		r.reportCrash(now, Crash{Incarnation: id, Runs: ended.crashedRuns(active, evidence, r.lateness.maxDelay(now.Sub(r.lastTick)))})
 	}
 	logged := IncarnationEnded{Incarnation: id, Reason: string(end), IsCrash: isCrash, Evidence: ended.describeEvidence(now)}
 	for _, t := range active {
--- a/internal/runner/judge.go
+++ b/internal/runner/judge.go
@@ -80,8 +80,8 @@
 			continue
 		}
 		r.observe(now, t, ejection.EndOverdue)
-		isOfWorker := r.kindRate(t) < ejection.MaxProbeRate
-		if r.isEjected() && isOfWorker && !t.IgnoresEjection && !r.worker.isUnresponsive(now) {
+		isWorkerFault := r.kindRate(t) < ejection.MaxProbeRate
+		if r.isEjected() && isWorkerFault && !t.IgnoresEjection && !r.worker.isUnresponsive(now) {
 			r.beginStop(now, t)
 		}
 	}
@@ -96,7 +96,7 @@
 	if t.isProbe {
 		usual = max(usual, t.Estimate)
 	}
-	progress := ejection.Progress{Elapsed: t.listedAt - t.acceptedAt, Percent: t.progress, IsKnown: r.worker.tellsProgress}
+	progress := ejection.Progress{Elapsed: t.listedAt - t.acceptedAt, Percent: t.progress, IsKnown: r.worker.reportsProgress}
 	return ejection.IsOverdue(progress, time.Duration(r.speed.timeFactor()*float64(usual)), t.isProbe)
 }
 
--- a/internal/runner/lateness.go
+++ b/internal/runner/lateness.go
@@ -21,19 +21,19 @@
 // lateness keeps by how much ticks were late. The zero value has seen none.
 type lateness struct {
 	// began is when the present window began. longest is the latest tick in it, and earlier that of the window before.
-	began            time.Time
-	longest, earlier time.Duration
+	began                           time.Time
+	longestCurrent, longestPrevious time.Duration
 }
 
-// note notes the time between two ticks.
-func (l *lateness) note(now time.Time, gap time.Duration) {
+// record notes the time between two ticks.
+func (l *lateness) record(now time.Time, gap time.Duration) {
 	if now.Sub(l.began) >= latenessWindow {
-		l.began, l.longest, l.earlier = now, 0, l.longest
+		l.began, l.longestCurrent, l.longestPrevious = now, 0, l.longestCurrent
 	}
-	l.longest = max(l.longest, gap-TickInterval)
+	l.longestCurrent = max(l.longestCurrent, gap-TickInterval)
 }
 
-// most returns by how much the agent may be late, with the next tick, for which it has waited for a time.
-func (l *lateness) most(waited time.Duration) time.Duration {
-	return max(l.longest, l.earlier, waited-TickInterval)
+// maxDelay returns by how much the agent may be late, with the next tick, for which it has waited for a time.
+func (l *lateness) maxDelay(waited time.Duration) time.Duration {
+	return max(l.longestCurrent, l.longestPrevious, waited-TickInterval)
 }
--- a/internal/runner/lease.go
+++ b/internal/runner/lease.go
@@ -55,7 +55,7 @@
 	gap := now.Sub(r.lastTick)
 	isLate := !r.lastTick.IsZero() && gap > maxTickGap
 	if !r.lastTick.IsZero() {
-		r.lateness.note(now, gap)
+		r.lateness.record(now, gap)
 	}
 	r.lastTick = now
 	if isLate && r.worker != nil && !r.worker.lastRenewal.IsZero() {
--- a/internal/runner/listing.go
+++ b/internal/runner/listing.go
@@ -26,21 +26,21 @@
 	r.worker.listed = listing.Reply
 	r.markResponsive(now, sent)
 	// A listing that was requested before the end of another answer was applied may still contain the run that ended.
-	mayBeOutdated := !sent.After(r.worker.lastEnd)
+	mayBeStale := !sent.After(r.worker.lastEnd)
 	for _, end := range listing.Ended {
 		r.applyEnd(now, listing, end)
 	}
 	listed := make(map[string]worker.Run, len(listing.Running))
 	for _, run := range listing.Running {
 		listed[run.Name] = run
-		r.observeRun(now, listing, mayBeOutdated, run)
+		r.observeRun(now, listing, mayBeStale, run)
 	}
 	for _, t := range r.active() {
 		run, isListed := listed[t.Name]
 		r.resolve(now, e, listing, t, isListed && run.Run == t.Run)
 	}
 	r.resolveOrphans(sent, listed)
-	r.survey(sent, mayBeOutdated)
+	r.survey(sent, mayBeStale)
 }
 
 // applyEnd applies a listed end once; the worker lists it until it is acknowledged.
@@ -83,16 +83,16 @@
 
 // observeRun applies a listed run: it updates the progress of a known one and stops an orphan. In an outdated listing
 // an unknown run may be one whose end was applied, which is no orphan.
-func (r *Runner) observeRun(now time.Time, listing worker.Listing, mayBeOutdated bool, run worker.Run) {
+func (r *Runner) observeRun(now time.Time, listing worker.Listing, mayBeStale bool, run worker.Run) {
 	t, ok := r.activeRun(run.Name, run.Run)
 	if !ok {
-		if !mayBeOutdated {
+		if !mayBeStale {
 			r.stopOrphan(now, run)
 		}
 		return
 	}
 	t.progress = run.Percent
-	r.worker.tellsProgress = r.worker.tellsProgress || run.Percent > 0
+	r.worker.reportsProgress = r.worker.reportsProgress || run.Percent > 0
 	t.listedAt = listing.Clock
 }
 
--- a/internal/runner/orphan.go
+++ b/internal/runner/orphan.go
@@ -54,9 +54,9 @@
 
 // survey records that no run of an earlier process is unknown any more, if a listing that was requested at sent is late
 // enough. Such a run is listed, or was being stopped and has ended.
-func (r *Runner) survey(sent time.Time, mayBeOutdated bool) {
+func (r *Runner) survey(sent time.Time, mayBeStale bool) {
 	w := r.worker
-	if w.isSurveyed || mayBeOutdated || w.clock == 0 || !sent.After(w.firstSeen.Add(r.stopBound())) {
+	if w.isSurveyed || mayBeStale || w.clock == 0 || !sent.After(w.firstSeen.Add(r.stopBound())) {
 		return
 	}
 	w.isSurveyed = true
--- a/internal/runner/probe.go
+++ b/internal/runner/probe.go
@@ -23,8 +23,8 @@
 	ProbeOfferTime = 100 * time.Millisecond
 	// probeMargin is how much longer an agent waits for the answer: two round trips over a busy link.
 	probeMargin = 50 * time.Millisecond
-	// unusedProbeTime is how long an entry that left a probe unused has its turn after those that did not.
-	unusedProbeTime = time.Second
+	// unusedProbePenalty is how long an entry that left a probe unused has its turn after those that did not.
+	unusedProbePenalty = time.Second
 )
 
 // isProbeOf reports whether an offer is a probe that was offered to a session.
@@ -41,8 +41,8 @@
 	}
 }
 
-// endProbes takes back the probes that no task has used, as one of them has failed.
-func (r *Runner) endProbes() {
+// withdrawProbes takes back the probes that no task has used, as one of them has failed.
+func (r *Runner) withdrawProbes() {
 	for id, o := range r.offers {
 		if o.isProbe {
 			r.endOffer(id)
@@ -60,18 +60,18 @@
 	}
 	for _, t := range r.tasks {
 		isNew := t.state == stateQueued || now.Sub(t.began) < ejection.ProbeTime
-		if t.isOpenProbe() && isNew {
+		if t.isPendingProbe() && isNew {
 			count++
 		}
 	}
 	return count
 }
 
-// isOpenProbe reports whether a task is a probe that has not shown how the worker is.
-func (t *task) isOpenProbe() bool { return t.isProbe && !t.isJudged }
+// isPendingProbe reports whether a task is a probe that has not shown how the worker is.
+func (t *task) isPendingProbe() bool { return t.isProbe && !t.isJudged }
 
-// forgetProbeRuns makes probes that have not ended runs like others, as the worker is in service again.
-func (r *Runner) forgetProbeRuns() {
+// clearProbes makes probes that have not ended runs like others, as the worker is in service again.
+func (r *Runner) clearProbes() {
 	for _, t := range r.tasks {
 		t.isProbe = false
 	}
@@ -84,7 +84,7 @@
 		return false
 	}
 	for _, t := range r.tasks {
-		if t.isOpenProbe() {
+		if t.isPendingProbe() {
 			return true
 		}
 	}
@@ -109,7 +109,7 @@
 func (r *Runner) nextProbeSession(now time.Time) *session {
 	var best *session
 	for _, s := range r.sessionsInOrder() {
-		if r.mayOffer(now, s.id) && !r.hasProbe(s.id) && !s.hasJustLeftProbe(now) && (best == nil || s.compareProbe(best, now) < 0) {
+		if r.mayOffer(now, s.id) && !r.hasProbe(s.id) && !s.justLeftProbeUnused(now) && (best == nil || s.compareProbeOrder(best, now) < 0) {
 			best = s
 		}
 	}
@@ -126,28 +126,28 @@
 	return false
 }
 
-// compareProbe returns the order in which two sessions get a probe: those first that have not left one unused lately, of these the one with the
+// compareProbeOrder returns the order in which two sessions get a probe: those first that have not left one unused lately, of these the one with the
 // latest start, of the others the one that left it first.
-func (s *session) compareProbe(other *session, now time.Time) int {
-	if order := trueFirst(!s.hasLeftProbe(now), !other.hasLeftProbe(now)); order != 0 {
+func (s *session) compareProbeOrder(other *session, now time.Time) int {
+	if order := trueFirst(!s.leftProbeUnused(now), !other.leftProbeUnused(now)); order != 0 {
 		return order
 	}
-	if s.hasLeftProbe(now) {
+	if s.leftProbeUnused(now) {
 		return s.probeUnusedAt.Compare(other.probeUnusedAt)
 	}
 	return cmp.Or(other.lastStart.Compare(s.lastStart), cmp.Compare(s.id, other.id))
 }
 
-// hasLeftProbe reports whether the entry has left a probe unused lately.
-func (s *session) hasLeftProbe(now time.Time) bool {
-	return !s.probeUnusedAt.IsZero() && now.Sub(s.probeUnusedAt) < unusedProbeTime
+// leftProbeUnused reports whether the entry has left a probe unused lately.
+func (s *session) leftProbeUnused(now time.Time) bool {
+	return !s.probeUnusedAt.IsZero() && now.Sub(s.probeUnusedAt) < unusedProbePenalty
 }
 
-// hasJustLeftProbe reports whether the entry has left its latest probe unused and could still keep it: it has no use for any at present, or is
+// justLeftProbeUnused reports whether the entry has left its latest probe unused and could still keep it: it has no use for any at present, or is
 // of an older version.
-func (s *session) hasJustLeftProbe(now time.Time) bool {
+func (s *session) justLeftProbeUnused(now time.Time) bool {
 	isLatest := !s.probeUnusedAt.Before(s.probeOfferedAt)
-	return s.hasLeftProbe(now) && isLatest && now.Sub(s.probeOfferedAt) < ProbeOfferTime
+	return s.leftProbeUnused(now) && isLatest && now.Sub(s.probeOfferedAt) < ProbeOfferTime
 }
 
 // offerProbe offers a probe to a session. It keeps no resources, as nothing else is started on an ejected worker.
--- a/internal/runner/restart.go
+++ b/internal/runner/restart.go
@@ -37,7 +37,7 @@
 	case !ok, listing.StartedMillis == 0, listing.StartedMillis == current:
 		return false
 	case current == 0:
-		r.learnStart(now, listing.StartedMillis)
+		r.setStartTime(now, listing.StartedMillis)
 		return false
 	}
 	record := r.worker.record
@@ -51,9 +51,9 @@
 	return true
 }
 
-// learnStart completes the current incarnation, whose record did not tell its start: an earlier version of the agent may have stored it.
+// setStartTime completes the current incarnation, whose record did not tell its start: an earlier version of the agent may have stored it.
 // Answers to calls that are under way will not be taken for those of the current incarnation, so their starts are checked.
-func (r *Runner) learnStart(now time.Time, started int64) {
+func (r *Runner) setStartTime(now time.Time, started int64) {
 	w := r.worker
 	w.record.StartedMillis = started
 	w.record.Sequence = 0
@@ -90,9 +90,9 @@
 	r.finish(t, OutcomeLost, string(endRestarted))
 }
 
-// isWithoutStart reports whether a heartbeat does not tell the start of its process although the current incarnation of that ID does: it
+// lacksStartTime reports whether a heartbeat does not tell the start of its process although the current incarnation of that ID does: it
 // comes from another writer.
-func (r *Runner) isWithoutStart(record worker.Record) bool {
+func (r *Runner) lacksStartTime(record worker.Record) bool {
 	current := r.worker.record
 	return record.StartedMillis == 0 && record.Incarnation().IsRestartOf(current.Incarnation())
 }
--- a/internal/runner/script_test.go
+++ b/internal/runner/script_test.go
@@ -42,11 +42,11 @@
 	})
 }
 
-func number(t *testing.T, d *datadriven.TestData, key string, otherwise int) int {
+func intArg(t *testing.T, d *datadriven.TestData, key string, value int) int {
 	if d.HasArg(key) {
-		d.ScanArgs(t, key, &otherwise)
+		d.ScanArgs(t, key, &value)
 	}
-	return otherwise
+	return value
 }
 
 // clock returns the worker's clock, which is the same as the agent's in scripts.
@@ -59,17 +59,17 @@
 	if len(d.CmdArgs) > 0 {
 		first = d.CmdArgs[0].Key
 	}
-	session := SessionID(number(t, d, "session", 1))
-	started := int64(number(t, d, "started", 0))
+	session := SessionID(intArg(t, d, "session", 1))
+	started := int64(intArg(t, d, "started", 0))
 	incarnation := worker.Incarnation{ID: "w", StartedMillis: started}
 	if d.HasArg("incarnation") {
 		d.ScanArgs(t, "incarnation", &incarnation.ID)
 	}
-	run := uint32(number(t, d, "run", 1))
+	run := uint32(intArg(t, d, "run", 1))
 	switch d.Cmd {
 	case "worker":
 		output := s.handle(HeartbeatReceived{Record: worker.Record{
-			ID: first, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: number(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
+			ID: first, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: intArg(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
 			Sequence: uint64(s.now.UnixMilli()), Clock: s.clock(),
 		}})
 		if s.runner.candidate != nil {
@@ -81,7 +81,7 @@
 		return output
 	case "heartbeat":
 		return s.handle(HeartbeatReceived{Record: worker.Record{
-			ID: first, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: number(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
+			ID: first, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: intArg(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
 			Sequence: uint64(s.now.UnixMilli()), Clock: s.clock(),
 		}})
 	case "recall":
@@ -93,23 +93,23 @@
 	case "close":
 		return s.handle(SessionClosed{Session: session})
 	case "pong":
-		return s.handle(PongReceived{Session: session, Sent: s.now.Add(-time.Duration(number(t, d, "ago", 0)) * time.Millisecond)})
+		return s.handle(PongReceived{Session: session, Sent: s.now.Add(-time.Duration(intArg(t, d, "ago", 0)) * time.Millisecond)})
 	case "start":
 		s.number++
 		return s.handle(StartRequested{Session: session, Number: s.number, Task: Task{
-			Name: first, Run: run, Needs: worker.Resources{CPU: number(t, d, "cpu", 1000)}, Expected: time.Duration(number(t, d, "expected", 100)) * time.Millisecond,
-			MaxWait: time.Duration(number(t, d, "wait", 0)) * time.Millisecond, IsDurable: d.HasArg("durable"),
-			Urgency: s.urgency(t, d), Offer: OfferID(number(t, d, "offer", 0)), Kind: "kind", IsContained: d.HasArg("contained"),
-			KindFailureRate: float64(number(t, d, "kind_failures", 0)) / 100, IgnoresEjection: d.HasArg("ignores_ejection"), Estimate: time.Duration(number(t, d, "estimate", 100)) * time.Millisecond,
+			Name: first, Run: run, Needs: worker.Resources{CPU: intArg(t, d, "cpu", 1000)}, Expected: time.Duration(intArg(t, d, "expected", 100)) * time.Millisecond,
+			MaxWait: time.Duration(intArg(t, d, "wait", 0)) * time.Millisecond, IsDurable: d.HasArg("durable"),
+			Urgency: s.urgency(t, d), Offer: OfferID(intArg(t, d, "offer", 0)), Kind: "kind", IsContained: d.HasArg("contained"),
+			KindFailureRate: float64(intArg(t, d, "kind_failures", 0)) / 100, IgnoresEjection: d.HasArg("ignores_ejection"), Estimate: time.Duration(intArg(t, d, "estimate", 100)) * time.Millisecond,
 		}})
 	case "reserve":
 		return s.handle(ReservationRequested{Session: session, Reservation: Reservation{
-			Job: first, Needs: worker.Resources{CPU: number(t, d, "cpu", 1000)}, Count: number(t, d, "count", 1), Urgency: s.urgency(t, d),
+			Job: first, Needs: worker.Resources{CPU: intArg(t, d, "cpu", 1000)}, Count: intArg(t, d, "count", 1), Urgency: s.urgency(t, d),
 		}})
 	case "answer":
-		return s.handle(OfferAnswered{Session: session, Offer: OfferID(number(t, d, "offer", 0))})
+		return s.handle(OfferAnswered{Session: session, Offer: OfferID(intArg(t, d, "offer", 0))})
 	case "evacuate", "take_back":
-		return s.evacuate(first, d.Cmd == "evacuate", evacuation.Revision(number(t, d, "revision", 0)))
+		return s.evacuate(first, d.Cmd == "evacuate", evacuation.Revision(intArg(t, d, "revision", 0)))
 	case "acknowledged":
 		return s.handle(EndAcknowledged{Name: first, Run: run})
 	case "stop":
@@ -136,11 +136,11 @@
 	case "renew_not_reached":
 		return s.handle(RenewAnswered{Incarnation: incarnation, Sent: s.now, Ended: s.now, Result: worker.NotReached{}})
 	case "wait":
-		s.now = s.now.Add(time.Duration(number(t, d, "ms", 0)) * time.Millisecond)
+		s.now = s.now.Add(time.Duration(intArg(t, d, "ms", 0)) * time.Millisecond)
 		return s.handle(Ticked{})
 	case "suspend":
 		// Time goes on, and the timers are late: the next event is handled before a tick.
-		s.now = s.now.Add(time.Duration(number(t, d, "ms", 0)) * time.Millisecond)
+		s.now = s.now.Add(time.Duration(intArg(t, d, "ms", 0)) * time.Millisecond)
 		return ""
 	case "shutdown":
 		return s.handle(ShutdownRequested{})
@@ -152,7 +152,7 @@
 
 // took reads how long a call took, zero by default.
 func (s *script) took(t *testing.T, d *datadriven.TestData) time.Duration {
-	return time.Duration(number(t, d, "took", 0)) * time.Millisecond
+	return time.Duration(intArg(t, d, "took", 0)) * time.Millisecond
 }
 
 // evacuate changes an availability zone, at the next revision unless one is given. Workers are in zone "z".
@@ -167,8 +167,8 @@
 
 // urgency reads the urgency of a task or reservation. Its job can be in time if it starts within 100 ms, by default.
 func (s *script) urgency(t *testing.T, d *datadriven.TestData) Urgency {
-	slack := time.Duration(number(t, d, "slack", 100)) * time.Millisecond
-	return Urgency{HasStarted: d.HasArg("begun"), Priority: number(t, d, "priority", 0), StartBy: s.now.Add(slack)}
+	slack := time.Duration(intArg(t, d, "slack", 100)) * time.Millisecond
+	return Urgency{HasStarted: d.HasArg("begun"), Priority: intArg(t, d, "priority", 0), StartBy: s.now.Add(slack)}
 }
 
 // survey lets a new incarnation answer the listing that shows that nothing runs on it, after which it gets tasks.
@@ -199,7 +199,7 @@
 // listing parses a listing: NAME=RUN is a running task, NAME=(RUN,ENDING) the end of one.
 func (s *script) listing(t *testing.T, d *datadriven.TestData) worker.Listing {
 	endings := map[string]worker.Ending{"done": worker.EndingDone, "failed": worker.EndingFailed, "stopped": worker.EndingStopped, "lease_expired": worker.EndingLeaseExpired}
-	l := worker.Listing{Reply: s.reply(), StartedMillis: int64(number(t, d, "by", number(t, d, "started", 0)))}
+	l := worker.Listing{Reply: s.reply(), StartedMillis: int64(intArg(t, d, "by", intArg(t, d, "started", 0)))}
 	for _, arg := range d.CmdArgs {
 		if slices.Contains([]string{"incarnation", "took", "started", "by"}, arg.Key) {
 			continue
--- a/internal/runner/unsettled.go
+++ b/internal/runner/unsettled.go
@@ -26,8 +26,8 @@
 	expires time.Time
 }
 
-// hasStartUnderWay reports whether the worker may carry out the start of a task later.
-func (t *task) hasStartUnderWay() bool {
+// hasPendingStart reports whether the worker may carry out the start of a task later.
+func (t *task) hasPendingStart() bool {
 	return t.state == stateStarting || t.state == stateChecking || t.state == stateRestarted
 }
 
@@ -36,7 +36,7 @@
 	mayStartAgain := end == endNotListening && ended.tellsStart()
 	for _, t := range r.active() {
 		r.settleCharge(now, t)
-		if !mayStartAgain || !t.hasStartUnderWay() {
+		if !mayStartAgain || !t.hasPendingStart() {
 			r.finish(t, OutcomeLost, string(end))
 			continue
 		}
