--- a/internal/runner/acknowledge.go
+++ b/internal/runner/acknowledge.go
@@ -14,42 +14,44 @@
 
 // Unacknowledged ends
 //
-// Inputs: the ends of durable tasks' runs and of orphans, and the acknowledgements of entries.
-// Rule: renewals let the worker forget ends only up to the first one that no owner has acknowledged, and none while another process of its
-// ID may have taken its place (mayHaveRestarted). Unacknowledged ends are resent to all entries every timing.EndResendInterval, also
-// after the worker's incarnation has ended. At maxUnacknowledged the worker gets no new tasks.
-// Reason: the owner may have died before it recorded the end; the next owner would run the task again. The next process counts its ends
-// anew, so what was acknowledged of the one before would have it forget ends that nobody has heard of.
+// Inputs: the ends of runs of durable tasks and of orphaned runs, and the acknowledgements that entries send.
+// Rule: a renewal allows the worker to discard ends only up to the first one that no owner has acknowledged, and none
+// while another process with the same ID may have replaced the worker (mayHaveRestarted). Unacknowledged ends are
+// resent to all entries every timing.EndResendInterval, also after the worker's incarnation has ended. At
+// maxUnacknowledged unacknowledged ends the worker gets no new tasks.
+// Reason: if the owner fails before it records the end, the next owner runs the task again. A new worker process
+// numbers its ends from the start, so an acknowledgement for the previous process would make it discard ends that were
+// never reported.
 
 const (
-	// maxUnacknowledged is the largest number of unacknowledged ends: below the number of ends that a worker lists in one answer, which is
-	// some hundreds.
+	// maxUnacknowledged is the largest number of unacknowledged ends. It is below the number of ends that a worker can
+	// list in one answer, which is several hundred.
 	maxUnacknowledged = 300
-	// unacknowledgedRenewInterval is the time between two renewals while ends are unacknowledged. It replaces the long poll, which would be
-	// answered at once.
+	// unacknowledgedRenewInterval is the time between two renewals while ends are unacknowledged. These renewals
+	// replace the long poll, which the worker would answer at once.
 	unacknowledgedRenewInterval = 15 * time.Millisecond
 )
 
-// unacknowledgedEnd is the end of a run that the worker has to remember until an owner has recorded it.
+// unacknowledgedEnd is the end of a run that the worker must keep until an owner has recorded it.
 type unacknowledgedEnd struct {
 	update Update
-	// lastSent is when the end was last sent to the entries. Zero if it was not.
+	// lastSent is when the end was last sent to the entries, or zero if it was not sent.
 	lastSent time.Time
-	// expires is when the end is dropped without an acknowledgement. Zero means never.
+	// expires is when the end is dropped even without an acknowledgement, or zero for never.
 	expires time.Time
 }
 
-// retainEnd makes the worker remember the end of a durable task's run until an owner has acknowledged it.
+// retainEnd makes the worker keep the end of a durable task's run until an owner has acknowledged it.
 func (r *Runner) retainEnd(now time.Time, end worker.End) {
 	r.worker.unacknowledged[end.Number] = &unacknowledgedEnd{update: updateOf(end), lastSent: now}
 }
 
-// hasResult reports whether a run ended by itself, done or failed, and not by a stop or the end of its lease.
+// hasResult reports whether a run ended by itself, successfully or not, rather than by a stop or an expired lease.
 func hasResult(ending worker.Ending) bool {
 	return ending == worker.EndingDone || ending == worker.EndingFailed
 }
 
-// updateOf returns the update with which an unacknowledged end is resent.
+// updateOf returns the update that is sent again until the end is acknowledged.
 func updateOf(end worker.End) Update {
 	update := Update{Name: end.Name, Run: end.Run, Outcome: OutcomeDone, Checkpoint: end.Checkpoint, Unacknowledged: true}
 	if end.Ending == worker.EndingFailed {
@@ -58,7 +60,7 @@
 	return update
 }
 
-// acknowledge forgets the end of a run and lets the worker forget it.
+// acknowledge removes the end of a run and allows the worker to discard it.
 func (r *Runner) acknowledge(name string, run uint32) {
 	isAcknowledged := func(e *unacknowledgedEnd) bool { return e.update.Name == name && e.update.Run == run }
 	r.earlierEnds = slices.DeleteFunc(r.earlierEnds, isAcknowledged)
@@ -68,8 +70,8 @@
 	maps.DeleteFunc(r.worker.unacknowledged, func(_ uint64, e *unacknowledgedEnd) bool { return isAcknowledged(e) })
 }
 
-// retainEarlierEnds keeps the unacknowledged ends of an incarnation that has ended. Beyond maxUnacknowledged the oldest are
-// dropped, so that a worker that restarts again and again does not fill the memory while no owner answers.
+// retainEarlierEnds keeps the unacknowledged ends of an ended incarnation. Beyond maxUnacknowledged the oldest are
+// dropped, which bounds memory when a worker restarts repeatedly while no owner answers.
 func (r *Runner) retainEarlierEnds(ended *incarnation) {
 	for _, number := range ended.unacknowledgedNumbers() {
 		r.earlierEnds = append(r.earlierEnds, ended.unacknowledged[number])
@@ -86,10 +88,10 @@
 	r.emit(EndDropped{Name: e.update.Name, Run: e.update.Run, Outcome: e.update.Outcome, Reason: reason})
 }
 
-// reasonNoOwner is why an end is dropped that expires.
+// reasonNoOwner is the logged reason for dropping an expired end.
 const reasonNoOwner = "no owner has acknowledged it in time"
 
-// acknowledgedUpTo returns the number up to which the worker may forget ends.
+// acknowledgedUpTo returns the highest end number that the worker may discard.
 func (i *incarnation) acknowledgedUpTo(now time.Time) uint64 {
 	if i.mayHaveRestarted(now) {
 		return 0
@@ -101,8 +103,8 @@
 	return acknowledged
 }
 
-// mayHaveRestarted reports whether another process of the same ID may answer the next call: since the worker answered last, a connection has
-// ended or a renewal was left unanswered.
+// mayHaveRestarted reports whether another process with the same ID may answer the next call: since the worker's last
+// answer, a connection has been closed or a renewal was not answered.
 func (i *incarnation) mayHaveRestarted(now time.Time) bool {
 	isUnanswered := !i.askedAt.IsZero() && now.Sub(i.askedAt) >= timing.RenewInterval
 	return i.tellsStart() && (isUnanswered || !i.closing.at.IsZero())
@@ -113,7 +115,7 @@
 	return slices.Sorted(maps.Keys(i.unacknowledged))
 }
 
-// resendUnacknowledged resends the ends of the current incarnation that are due, and drops those that have expired.
+// resendUnacknowledged resends the ends of the current incarnation that are due, and drops expired ones.
 func (r *Runner) resendUnacknowledged(now time.Time) {
 	for _, number := range r.worker.unacknowledgedNumbers() {
 		e := r.worker.unacknowledged[number]
@@ -126,7 +128,7 @@
 	}
 }
 
-// resendEarlierEnds does the same for the ends of earlier incarnations.
+// resendEarlierEnds resends the ends of earlier incarnations that are due, and drops expired ones.
 func (r *Runner) resendEarlierEnds(now time.Time) {
 	r.earlierEnds = slices.DeleteFunc(r.earlierEnds, func(e *unacknowledgedEnd) bool {
 		if e.hasExpired(now) {
@@ -143,7 +145,7 @@
 	return !e.expires.IsZero() && now.After(e.expires)
 }
 
-// resendIfDue sends an end to every entry if it was last sent timing.EndResendInterval ago.
+// resendIfDue sends an end to every entry if it was last sent at least timing.EndResendInterval ago.
 func (r *Runner) resendIfDue(now time.Time, e *unacknowledgedEnd) {
 	if now.Sub(e.lastSent) >= timing.EndResendInterval {
 		e.lastSent = now
@@ -151,7 +153,7 @@
 	}
 }
 
-// sendUnacknowledged sends all unacknowledged ends on a new session: its entry may be their new owner.
+// sendUnacknowledged sends all unacknowledged ends on a new session, whose entry may be their new owner.
 func (r *Runner) sendUnacknowledged(s *session) {
 	for _, e := range r.earlierEnds {
 		r.sendUpdate(s.id, e.update)
--- a/internal/runner/candidate.go
+++ b/internal/runner/candidate.go
@@ -11,20 +11,22 @@
 
 // Heartbeats of another incarnation
 //
-// Inputs: a heartbeat of an incarnation that is not the current one and is not known to have ended.
-// Rule: a renewal without a lease asks the worker whether it is that incarnation. If it is, it replaces the current one; if another
-// ID or another process of the ID answers, it has ended. Without an answer nothing changes, and the next heartbeat repeats the question.
-// Reason: the heartbeat may have been delayed by a cut until after its incarnation crashed, and this process may be too young
-// to have known that one. Taken for a new incarnation it would end the runs, the health and the draining state of the
-// current one, and have its later heartbeats ignored. The question costs a worker's restart one call to the VM's own worker.
+// Inputs: a heartbeat from an incarnation that is neither the current one nor known to have ended.
+// Rule: a renewal without a lease asks the worker whether it is that incarnation. If so, it replaces the current one;
+// if another ID or another process with the same ID answers, the candidate has ended. Without an answer nothing
+// changes, and the next heartbeat triggers the question again.
+// Reason: a network partition may have delayed the heartbeat until after its incarnation crashed, and this process may
+// have started too late to know of that incarnation. Accepting the heartbeat as a new incarnation would end the runs of
+// the current one, discard its health and draining state, and cause its later heartbeats to be ignored. The check costs
+// one call to the worker on the same VM for each restart of the worker.
 
-// handleUnknownIncarnation asks the worker whether it is the incarnation of a heartbeat.
+// handleUnknownIncarnation asks the worker whether it is the incarnation that sent a heartbeat.
 func (r *Runner) handleUnknownIncarnation(record worker.Record) {
 	r.candidate = &record
 	r.emit(CallRenew{Incarnation: record.Incarnation(), Renew: worker.RenewRequest{Fence: r.fence}})
 }
 
-// handleCandidateAnswer applies the answer to the question of handleUnknownIncarnation.
+// handleCandidateAnswer applies the answer to the call made by handleUnknownIncarnation.
 func (r *Runner) handleCandidateAnswer(now time.Time, e RenewAnswered) {
 	record := r.candidate
 	if record == nil || record.Incarnation() != e.Incarnation {
@@ -39,14 +41,15 @@
 	case worker.WrongIncarnation:
 		r.rememberEnded(record.Incarnation())
 	case worker.Unanswered, worker.NotReached, worker.Unhealthy, worker.Invalid:
-		// Whether the incarnation is the current one is still not known.
+		// It is still unknown whether the incarnation is the current one.
 	}
 }
 
-// resolveCandidate begins the candidate, unless the listing comes from another process of its ID: then the heartbeat was a late one.
+// resolveCandidate makes the candidate the current incarnation, unless the listing comes from another process with the
+// same ID: then the heartbeat was a delayed one.
 func (r *Runner) resolveCandidate(now time.Time, record worker.Record, listing worker.Listing) {
-	hasOtherStart := listing.StartedMillis != 0 && record.StartedMillis != 0 && listing.StartedMillis != record.StartedMillis
-	if !hasOtherStart {
+	isOtherProcess := listing.StartedMillis != 0 && record.StartedMillis != 0 && listing.StartedMillis != record.StartedMillis
+	if !isOtherProcess {
 		r.beginIncarnation(now, record)
 		return
 	}
@@ -56,8 +59,9 @@
 	}
 }
 
-// handleFencedCandidate begins a candidate that rejected the question for its token, as it bears the ID that was asked for. It does not
-// tell which process of the current ID it is; the next heartbeat asks again with a higher token.
+// handleFencedCandidate handles a candidate that rejected the call for its fencing token. The candidate has the ID that
+// was asked for, so it becomes the current incarnation if the current one has another ID. If the IDs are equal, the
+// rejection does not show which process answered; the next heartbeat asks again with a higher token.
 func (r *Runner) handleFencedCandidate(now time.Time, record worker.Record, fence uint64) {
 	if r.worker != nil && r.worker.record.ID == record.ID {
 		r.raiseFence(fence, fenceStep)
--- a/internal/runner/restart.go
+++ b/internal/runner/restart.go
@@ -11,15 +11,17 @@
 
 // Restarts under the same ID
 //
-// Inputs: the start that a listing tells, heartbeats of another start, and the runs that may have been on the worker.
-// Rule: if a listing comes from another process than the one that was asked, the one that was asked has ended. Calls name the ID only,
-// so those under way may have reached either. The fencing token is raised, and a listing of the new process that was requested with the
-// raised token decides on each run: one that is listed goes on there, one that is not was lost. The new process gets no tasks before
-// a heartbeat has described it, as it may have other labels and another capacity.
-// Reason: a run that a late start began on the new process would go on beside the one that replaces it elsewhere.
+// Inputs: the start time in a listing, heartbeats with another start time, and the runs that may have been on the
+// worker.
+// Rule: if a listing comes from another process than the one that was called, the latter has ended. Calls contain only
+// the ID, so those in transit may have reached either process. The fencing token is raised, and a listing of the new
+// process requested with the raised token decides each run: a listed run continues there, any other was lost. The new
+// process gets no tasks before a heartbeat has described it, because its labels and capacity may differ.
+// Reason: otherwise a run that a delayed start began on the new process would continue beside the run that replaces it
+// elsewhere.
 
-// restart replaces the current incarnation by a later process of the same ID. Its runs are carried over until a listing
-// decides on them.
+// restart replaces the current incarnation by a later process with the same ID. Its runs are carried over until a
+// listing decides them.
 func (r *Runner) restart(now time.Time, w *incarnation) {
 	earlier := r.worker
 	r.rememberEnded(earlier.record.Incarnation())
@@ -29,7 +31,8 @@
 	r.beginWith(now, w)
 }
 
-// noteRestart begins the incarnation from which a listing comes if it is not the current one. It reports whether it did so.
+// noteRestart makes the incarnation that sent a listing the current one if it is another process. It reports whether it
+// did so.
 func (r *Runner) noteRestart(now time.Time, result worker.RenewResult) bool {
 	listing, ok := result.(worker.Listing)
 	current := r.worker.record.StartedMillis
@@ -51,8 +54,9 @@
 	return true
 }
 
-// setStartTime completes the current incarnation, whose record did not tell its start: an earlier version of the agent may have stored it.
-// Answers to calls that are under way will not be taken for those of the current incarnation, so their starts are checked.
+// setStartTime adds the start time to the current incarnation, whose record lacks it: an earlier version of the agent
+// may have stored that record. Answers to calls in progress will no longer be attributed to the current incarnation, so
+// the starts among them are checked by a listing.
 func (r *Runner) setStartTime(now time.Time, started int64) {
 	w := r.worker
 	w.record.StartedMillis = started
@@ -67,7 +71,7 @@
 	r.markLoadDue()
 }
 
-// carryOver makes an active task of the earlier process wait for the listing that decides on it, or sends its stop again.
+// carryOver makes an active task of the earlier process wait for the listing that decides it, or sends its stop again.
 func (r *Runner) carryOver(now time.Time, t *task) {
 	t.acceptedAt, t.listedAt = 0, 0
 	t.progress = 0
@@ -81,7 +85,7 @@
 	t.fence = r.fence - checkStep
 }
 
-// resolveRestarted decides on a run by a listing of the new process that was requested with the raised fencing token.
+// resolveRestarted decides a run by a listing of the new process that was requested with the raised fencing token.
 func (r *Runner) resolveRestarted(now time.Time, t *task, listing worker.Listing, isListed bool) {
 	if isListed {
 		r.markStarted(now, t, listing.Clock)
@@ -90,8 +94,8 @@
 	r.finish(t, OutcomeLost, string(endRestarted))
 }
 
-// lacksStartTime reports whether a heartbeat does not tell the start of its process although the current incarnation of that ID does: it
-// comes from another writer.
+// lacksStartTime reports whether a heartbeat lacks the start time although the current incarnation with its ID has one:
+// such a heartbeat comes from another writer.
 func (r *Runner) lacksStartTime(record worker.Record) bool {
 	current := r.worker.record
 	return record.StartedMillis == 0 && record.Incarnation().IsRestartOf(current.Incarnation())
--- a/internal/runner/unsettled.go
+++ b/internal/runner/unsettled.go
@@ -8,30 +8,32 @@
 	"time"
 )
 
-// Starts without an answer when the worker ends
+// Unanswered starts when the worker ends
 //
-// Inputs: the tasks whose start was not answered when the worker stopped to listen, and whether it tells its start.
-// Rule: such a task is reported as lost once the next process of the worker has rejected or ended what a late start may have begun
-// there, or after lateStartTime.
-// Reason: the call names the worker's ID only. The worker may carry it out after it has started again, while the task runs elsewhere.
-
-// lateStartTime is how long a task is not reported as lost for the sake of a late start. Callers wait for 1.5 s, so that a longer one
-// would leave no time to run the task elsewhere.
+// Inputs: the tasks whose start was unanswered when the worker stopped listening, and whether it reports its start
+// time.
+// Rule: such a task is reported as lost once the worker's next process has rejected or ended any run that a delayed
+// start may have begun there, or after lateStartTime.
+// Reason: the call contains only the worker's ID. A restarted worker may still carry it out while the task runs
+// elsewhere.
+
+// lateStartTime is the longest time for which reporting a task as lost is postponed because of a delayed start. Callers
+// wait for 1.5 s, so a longer time would leave none to run the task elsewhere.
 const lateStartTime = 600 * time.Millisecond
 
-// unsettledTask is a task of an ended incarnation that is not reported as lost yet.
+// unsettledTask is a task of an ended incarnation that has not been reported as lost yet.
 type unsettledTask struct {
 	task    *task
 	reason  string
 	expires time.Time
 }
 
-// hasPendingStart reports whether the worker may carry out the start of a task later.
+// hasPendingStart reports whether the worker may still carry out the start of a task.
 func (t *task) hasPendingStart() bool {
 	return t.state == stateStarting || t.state == stateChecking || t.state == stateRestarted
 }
 
-// finishLost reports the tasks of an incarnation that has ended as lost, at once or when their starts cannot begin a run any more.
+// finishLost reports the tasks of an ended incarnation as lost, at once or when their starts can no longer begin a run.
 func (r *Runner) finishLost(now time.Time, ended *incarnation, end incarnationEnd) {
 	mayStartAgain := end == endNotListening && ended.tellsStart()
 	for _, t := range r.active() {
@@ -46,7 +48,7 @@
 	}
 }
 
-// settle reports the unsettled tasks as lost for which that is due.
+// settle reports the unsettled tasks as lost whose report is due.
 func (r *Runner) settle(now time.Time) {
 	hasSettled := r.worker != nil && r.worker.isSurveyed && len(r.worker.orphans) == 0
 	r.unsettled = slices.DeleteFunc(r.unsettled, func(u unsettledTask) bool {
