--- a/internal/runner/containment.go
+++ b/internal/runner/containment.go
@@ -7,24 +7,24 @@
 
 // Contained jobs
 //
-// Inputs: whether the kind of a job is contained (Task.IsContained), when the latest contained job was started.
-// Rule: for suspectTime after the first start of a contained job, or until all its runs here have ended, nothing of another job is
-// started beside it. Runs that were there before go on.
-// Reason: of a kind that crashes workers each job is suspect. A task that crashes its worker does so soon after its start, so a
-// crash in that time speaks against the job that was started last, without a second one.
+// Inputs: whether the kind of a job is contained (Task.IsContained), and when the latest contained job was started.
+// Rule: for suspectTime after the first start of a contained job, or until all its runs on this worker have ended, no
+// task of another job is started beside it. Runs that were already active continue.
+// Reason: every job of a kind that crashes workers is suspect. A task that crashes its worker does so soon after its
+// start, so a crash within that time implicates the job that was started last, without the need for a second crash.
 
-// containedJob is the contained job that was started last. The zero value is none.
+// containedJob is the contained job that was started last. The zero value means none.
 type containedJob struct {
 	id string
 	// runs counts its active tasks.
 	runs int
-	// began is when its first task was started.
+	// began is when the first task of the job was started.
 	began time.Time
-	// isIsolated is set while nothing else is started beside it.
+	// isIsolated is set while no other job may be started beside it.
 	isIsolated bool
 }
 
-// fits reports whether a queued task may start with the resources that are free.
+// fits reports whether the free resources suffice to start a queued task.
 func (r *Runner) fits(t *task) bool {
 	w := r.worker
 	if t.IsContained && w.suspect == nil && w.contained.isIsolated && w.contained.id == t.job() {
@@ -48,7 +48,7 @@
 	r.isolate(t)
 }
 
-// vacate counts an active task as one that is no longer active.
+// vacate counts a task as no longer active.
 func (r *Runner) vacate(t *task) {
 	w := r.worker
 	w.used = w.used.Minus(t.Needs)
@@ -64,7 +64,7 @@
 	r.endIsolation(t)
 }
 
-// expireContained ends the time in which nothing is started beside a contained job.
+// expireContained ends the isolation of a contained job after suspectTime.
 func (r *Runner) expireContained(now time.Time) {
 	if c := &r.worker.contained; c.isIsolated && now.Sub(c.began) > suspectTime {
 		c.isIsolated = false
@@ -72,7 +72,7 @@
 	}
 }
 
-// wasIsolated reports whether a task belongs to the contained job beside which nothing was started when the worker crashed.
+// wasIsolated reports whether a task belongs to the contained job that was isolated when the worker crashed.
 func (i *incarnation) wasIsolated(t *task, crashedAt time.Time) bool {
 	return i.contained.id == t.job() && crashedAt.Sub(i.contained.began) <= suspectTime
 }
--- a/internal/runner/crash.go
+++ b/internal/runner/crash.go
@@ -12,20 +12,23 @@
 
 // Crashes of the worker
 //
-// Inputs: how the worker's incarnation ended, whether it was draining, the runs on it, and which of them were running for certain
-// (evidence.go).
-// Rule: an incarnation has crashed if the worker does not listen or another incarnation answers or reports, and it was not
-// draining. The crash is reported to every entry in session, and again on each session that opens within crashReportTime. It comes
-// with the runs that may have been on the worker, except those whose start is under way. One of them is the latest if it was running
-// for certain and no start was sent after its own: a start under way has most likely not begun, but it may have.
-// Reason: any of these runs may have caused the crash, and would cause the next one on another worker. Every entry has to know,
-// also one whose session was cut at that moment, as the job may be submitted again there.
+// Inputs: how the worker's incarnation ended, whether it was draining, its runs, and which of them were certainly
+// running (evidence.go).
+// Rule: an incarnation has crashed if the worker does not listen or another incarnation answers or sends a heartbeat,
+// and the worker was not draining. The crash is reported to every connected entry, and again on each session opened
+// within crashReportTime. The report contains the runs that may have been on the worker, except those with a start call
+// in progress. A run is marked as the latest if it was certainly running and no start was sent after its own: a start
+// in progress has most likely not begun a run, but it may have.
+// Reason: any of these runs may have caused the crash and may crash the next worker. Every entry needs the report,
+// including one whose session was interrupted at that moment, because the job may be submitted again there.
 
 const (
-	// crashReportTime is how long a crash is reported on new sessions: an entry that lost its session dials again within a second, and the
-	// new owner of a durable job takes over within ten; an entry that starts later knows of none.
+	// crashReportTime is how long a crash is reported on new sessions. An entry that lost its session reconnects within
+	// a second, and a new owner of a durable job takes over within ten; an entry that connects later is not told of the
+	// crash.
 	crashReportTime = 30 * time.Second
-	// maxCrashReports bounds the crashes that are kept for new sessions: a worker is away for some seconds after each.
+	// maxCrashReports bounds the crashes kept for new sessions. A worker is unavailable for some seconds after each
+	// crash, so few occur within crashReportTime.
 	maxCrashReports = 8
 )
 
@@ -38,41 +41,42 @@
 // Crash is the crash of an incarnation of the worker.
 type Crash struct {
 	Incarnation worker.Incarnation
-	// Age is the time since the crash was noticed.
+	// Age is the time since the crash was detected.
 	Age time.Duration
-	// Runs are those that were on the worker, in the order of their tasks' names.
+	// Runs are the runs that may have been on the worker, sorted by task name.
 	Runs []CrashedRun
 }
 
 // CrashedRun is a run that was on a worker when it crashed.
 type CrashedRun struct {
 	RunID
-	// WasRunning is set if it was running for certain. Otherwise it may have ended before, or never begun.
+	// WasRunning is set if the run was certainly running. Otherwise it may have ended before the crash, or never begun.
 	WasRunning bool
-	// IsLatest is set if it was running for certain, and no start was sent after its own.
+	// IsLatest is set if the run was certainly running and no start was sent after its own.
 	IsLatest bool
-	// Age is the time from when its start was sent until the worker crashed. The run itself was younger, by AgeError at the most as far as the
-	// agent knows.
+	// Age is the time from sending the start until the worker crashed. The run itself was younger, by at most AgeError
+	// as far as the agent can tell.
 	Age, AgeError time.Duration
-	// Kind is the kind of the task's job, empty if it is not known.
+	// Kind is the kind of the task's job, or empty if it is unknown.
 	Kind string
-	// IsIsolated is set if the kind of the job is contained, and nothing was started beside the job since its first start.
+	// IsIsolated is set if the kind of the job is contained and no other job was started since the job's first start.
 	IsIsolated bool
 }
 
-// crashReport is a crash that is reported on new sessions until crashReportTime after it.
+// crashReport is a crash that is reported on new sessions for crashReportTime.
 type crashReport struct {
 	crash Crash
 	at    time.Time
 }
 
-// mayHaveCausedCrash reports whether the run of an active task may have caused a crash: one whose start is under way, or was when the
-// process before this one ended, has most likely not begun.
+// mayHaveCausedCrash reports whether the run of an active task may have caused a crash. A start that is in progress, or
+// was when the previous worker process ended, has most likely not begun a run.
 func (t *task) mayHaveCausedCrash() bool {
 	return t.state != stateStarting && t.state != stateRestarted
 }
 
-// crashedRuns returns those of the active tasks' runs that may have caused a crash. late is by how much the agent may be late.
+// crashedRuns returns the runs of the active tasks that may have caused a crash. maxDelay bounds how late the agent may
+// have handled its events.
 func (i *incarnation) crashedRuns(active []*task, evidence crashEvidence, maxDelay time.Duration) []CrashedRun {
 	var latest *task
 	for _, t := range active {
@@ -94,7 +98,7 @@
 	return runs
 }
 
-// reportCrash reports the crash of an incarnation with its runs to all entries, if there were any.
+// reportCrash reports a crash to all entries, if any run may have caused it.
 func (r *Runner) reportCrash(now time.Time, crash Crash) {
 	if len(crash.Runs) == 0 {
 		return
@@ -108,7 +112,7 @@
 	}
 }
 
-// sendCrashes reports the latest crashes on a new session.
+// sendCrashes reports recent crashes on a new session.
 func (r *Runner) sendCrashes(now time.Time, s *session) {
 	r.crashes = slices.DeleteFunc(r.crashes, func(report crashReport) bool { return now.Sub(report.at) > crashReportTime })
 	for _, report := range r.crashes {
--- a/internal/runner/lateness.go
+++ b/internal/runner/lateness.go
@@ -5,27 +5,31 @@
 
 import "time"
 
-// Lateness of the agent
+// Event-handling delay of the agent
 //
-// Inputs: the times between the ticks.
-// Rule: the agent is as late as the latest tick of the last one to two latenessWindow.
-// Reason: beside load, timers and answers are handled later than they are due, and what the agent dates by them looks older than it is.
+// Inputs: the times between ticks.
+// Rule: the delay is that of the most delayed tick within the current and the previous latenessWindow.
+// Reason: under load, timers and answers are handled later than they are due, so the ages that the agent derives from
+// them are too high.
 
 const (
-	// TickInterval is the time between two Ticked events: several in the shortest interval that the runner checks, stopRetryInterval.
+	// TickInterval is the time between two Ticked events. It is a fraction of stopRetryInterval, the shortest interval
+	// that the runner checks.
 	TickInterval = 20 * time.Millisecond
-	// latenessWindow is the time over which the latest tick counts at least: longer than a task runs that is compared with another one.
+	// latenessWindow is the shortest time for which a late tick counts. It is longer than the run time of tasks whose
+	// ages are compared.
 	latenessWindow = time.Second
 )
 
-// lateness keeps by how much ticks were late. The zero value has seen none.
+// lateness tracks by how much ticks were late. The zero value has recorded none.
 type lateness struct {
-	// began is when the present window began. longest is the latest tick in it, and earlier that of the window before.
+	// began is the start of the current window. longestCurrent is the longest delay in it, and longestPrevious that in
+	// the previous window.
 	began                           time.Time
 	longestCurrent, longestPrevious time.Duration
 }
 
-// record notes the time between two ticks.
+// record adds the time between two ticks.
 func (l *lateness) record(now time.Time, gap time.Duration) {
 	if now.Sub(l.began) >= latenessWindow {
 		l.began, l.longestCurrent, l.longestPrevious = now, 0, l.longestCurrent
@@ -33,7 +37,8 @@
 	l.longestCurrent = max(l.longestCurrent, gap-TickInterval)
 }
 
-// maxDelay returns by how much the agent may be late, with the next tick, for which it has waited for a time.
+// maxDelay returns the longest recent delay, including that of the next tick, which has been awaited for the given
+// time.
 func (l *lateness) maxDelay(waited time.Duration) time.Duration {
 	return max(l.longestCurrent, l.longestPrevious, waited-TickInterval)
 }
--- a/internal/runner/suspect.go
+++ b/internal/runner/suspect.go
@@ -11,23 +11,23 @@
 
 // Suspects
 //
-// Inputs: whether a worker has crashed under a task before (Task.IsSuspect), when its run was started.
-// Rule: for suspectTime after the start of a suspect's run, or until the run ends, no other run is started beside it. Runs that
-// were there before go on.
-// Reason: all tasks on a worker that crashes are suspects, and most are innocent. A second crash tells which one it was only if
-// nothing else began in the meantime: a task that crashes its worker does so soon after its start.
+// Inputs: whether a worker has crashed during a task before (Task.IsSuspect), and when its run was started.
+// Rule: for suspectTime after the start of a suspect's run, or until the run ends, no other run is started beside it.
+// Runs that were already active continue.
+// Reason: all tasks on a worker that crashes become suspects, and most are innocent. A second crash identifies the
+// cause only if nothing else was started in the meantime: a task that crashes its worker does so soon after its start.
 
-// suspectTime is how long nothing else is started beside a suspect.
+// suspectTime is how long a suspect is isolated, so that nothing else is started beside it.
 const suspectTime = 100 * time.Millisecond
 
-// isolate begins the time in which nothing is started beside a suspect.
+// isolate begins the isolation of a task if it is a suspect.
 func (r *Runner) isolate(t *task) {
 	if t.IsSuspect {
 		r.worker.suspect = t
 	}
 }
 
-// endIsolation ends that time if the task is the suspect.
+// endIsolation ends the isolation if the task is the isolated one.
 func (r *Runner) endIsolation(t *task) {
 	if r.worker != nil && r.worker.suspect == t {
 		r.worker.suspect = nil
@@ -35,7 +35,7 @@
 	}
 }
 
-// expireIsolation ends that time suspectTime after the start.
+// expireIsolation ends the isolation suspectTime after the start.
 func (r *Runner) expireIsolation(now time.Time) {
 	r.expireContained(now)
 	if t := r.worker.suspect; t != nil && now.Sub(t.began) > suspectTime {
@@ -43,8 +43,8 @@
 	}
 }
 
-// unavailable returns the resources of the worker that cannot be used: those of the active tasks, or all beside a suspect or a
-// contained job.
+// unavailable returns the resources of the worker that cannot be used: those of the active tasks, or all while a
+// suspect or a contained job is isolated.
 func (i *incarnation) unavailable() worker.Resources {
 	if i.suspect != nil || i.contained.isIsolated {
 		return i.record.Capacity
