--- a/internal/runner/ejection.go
+++ b/internal/runner/ejection.go
@@ -11,29 +11,32 @@
 
 // Outlier ejection
 //
-// Inputs: how the runs of all entries go (judge.go); when the worker crashes or ceases to answer.
-// Rule: package ejection decides when the worker is ejected and when probes are due. A start on an ejected worker is rejected at once, unless it
-// uses a probe (probe.go) or says that it ignores the ejection; what waits in the queue goes back, and reservations and offers are dropped.
-// Reason: the agent sees the starts of all entries. Each of them alone would send its share of tasks to a worker that fails, which is free
-// again at once and so gets what waits at all of them.
+// Inputs: the outcomes of the runs of all entries (judge.go), and when the worker crashes or stops answering.
+// Rule: package ejection decides when the worker is ejected and when probes are due. A start on an ejected worker is
+// rejected at once, unless it uses a probe (probe.go) or is marked to ignore the ejection. Queued tasks are returned to
+// their entries, and reservations and offers are dropped.
+// Reason: only the agent sees the starts of all entries. Each entry alone would keep sending its share of tasks to a
+// failing worker, which becomes free again quickly and would so attract the waiting tasks of every entry.
 //
-// The state outlives an incarnation of the worker that crashed, so that one that goes down again and again is found. It ends with the
-// agent: the next process takes the worker for one in service, and ejects it after three failed jobs.
+// The state is kept when an incarnation of the worker crashes, so that a worker that crashes repeatedly is detected. It
+// is lost when the agent ends: the next agent process assumes that the worker is in service, and ejects it after three
+// failed jobs.
 
-// ejectionState is what the runner keeps for the ejection of its worker, over all incarnations. The zero value is that of a worker in service.
+// ejectionState is the ejection state of the worker across its incarnations. The zero value is that of a worker in
+// service.
 type ejectionState struct {
 	detector ejection.Detector
-	// isAnnounced is set while what entries were told last is that the worker is ejected.
+	// isAnnounced is set if the latest state sent to the entries is that the worker is ejected.
 	isAnnounced bool
-	// kindRates are the shares of the runs of each kind that fail elsewhere, as entries told them last.
+	// kindRates are the failure rates of each kind on other workers, as entries last reported them.
 	kindRates map[string]float64
 }
 
-// isEjected reports whether the worker gets no tasks but probes.
+// isEjected reports whether the worker gets no tasks except probes.
 func (r *Runner) isEjected() bool { return r.ejection.detector.IsEjected() }
 
-// observeIncarnationEnd tells the detector how an incarnation of the worker ended. A crash beside a task that is known to crash workers says
-// nothing of the worker.
+// observeIncarnationEnd passes the end of an incarnation to the detector. A crash while a task known to crash workers
+// was isolated is not evidence against the worker, and a worker that had stopped answering was already counted.
 func (r *Runner) observeIncarnationEnd(now time.Time, ended *incarnation, isCrash bool) {
 	switch {
 	case r.limits.NoEjection:
@@ -44,7 +47,7 @@
 	}
 }
 
-// ejectedReason returns why a start of a session is rejected on an ejected worker, or "" if it is not.
+// ejectedReason returns the reason for rejecting a start on an ejected worker, or "" if the start is not rejected.
 func (r *Runner) ejectedReason(id SessionID, t Task) string {
 	if !r.isEjected() || t.IgnoresEjection || r.isProbeOf(id, t.Offer) {
 		return ""
@@ -52,7 +55,7 @@
 	return reasonEjected
 }
 
-// updateEjection applies the time that has passed.
+// updateEjection advances the detector to the current time.
 func (r *Runner) updateEjection(now time.Time) {
 	if r.limits.NoEjection {
 		return
@@ -62,7 +65,8 @@
 	r.ejection.detector.Advance(now, r.hasProbeRun() || r.refusalReason(now) != "")
 }
 
-// noteUnresponsive tells the detector that the worker has ceased to answer. If it turns out to have crashed, that does not count again.
+// noteUnresponsive reports to the detector that the worker has stopped answering. If the worker turns out to have
+// crashed, it is not counted again.
 func (r *Runner) noteUnresponsive(now time.Time) {
 	isUnresponsive := r.worker.isUnresponsive(now)
 	if isUnresponsive && !r.worker.wasUnresponsive {
@@ -71,7 +75,7 @@
 	r.worker.wasUnresponsive = isUnresponsive
 }
 
-// applyEjection applies a change of whether the worker is ejected, and offers the probes that are due.
+// applyEjection applies a change of the ejection state and offers the probes that are due.
 func (r *Runner) applyEjection(now time.Time) {
 	isEjected := r.isEjected()
 	if isEjected != r.ejection.isAnnounced {
@@ -89,7 +93,7 @@
 	r.offerProbes(now)
 }
 
-// ejectionChanged tells the entries and the log that the worker was ejected or is in service again.
+// ejectionChanged announces to the entries, and logs, that the worker was ejected or is in service again.
 func (r *Runner) ejectionChanged(now time.Time, isEjected bool) {
 	for _, s := range r.sessionsInOrder() {
 		s.loadDue, s.ownLoadDue = true, true
--- a/internal/runner/judge.go
+++ b/internal/runner/judge.go
@@ -11,15 +11,16 @@
 	"sailhead/internal/worker"
 )
 
-// How runs go, for the ejection
+// Outcomes of runs for outlier ejection
 //
-// Inputs: how the runs and starts of all entries end, which share of the runs of their kinds fails elsewhere, as entries tell it; runs that
-// take far longer than expected.
-// Rule: each run is judged once, when it ends or is overdue. Runs that are there when the worker is ejected go on, but for those that are
-// overdue, which are stopped to run elsewhere unless their kind is so everywhere.
-// Reason: on a worker on which runs hang nothing ends.
+// Inputs: the outcomes of the runs and starts of all entries, the failure rates of their kinds elsewhere as reported by
+// entries, and runs that take far longer than expected.
+// Rule: each run is counted once, when it ends or becomes overdue. Runs that are active when the worker is ejected
+// continue, except overdue ones, which are stopped and run elsewhere, unless their kind is often overdue on all
+// workers.
+// Reason: on a worker on which runs hang, no run ends, so ends alone would not show it.
 
-// observe tells the detector how a run or a start went.
+// observe passes the outcome of a run or a start to the detector.
 func (r *Runner) observe(now time.Time, t *task, end ejection.End) {
 	if r.limits.NoEjection || t.isJudged {
 		return
@@ -32,7 +33,7 @@
 	r.ejection.detector.Observe(now, ejection.Run{Job: t.job(), Kind: t.Kind, End: end, KindFailureRate: rate, Epoch: t.epoch})
 }
 
-// noteKindRate remembers which share of the runs of a kind goes wrong elsewhere.
+// noteKindRate stores the failure rate of a kind on other workers.
 func (r *Runner) noteKindRate(t Task) {
 	if t.Kind == "" || r.limits.NoEjection {
 		return
@@ -43,12 +44,12 @@
 	r.ejection.kindRates[t.Kind] = t.KindFailureRate
 }
 
-// kindRate returns which share of the runs of the task's kind goes wrong elsewhere.
+// kindRate returns the failure rate of the task's kind on other workers.
 func (r *Runner) kindRate(t *task) float64 {
 	return max(t.KindFailureRate, r.ejection.kindRates[t.Kind])
 }
 
-// observeEnd tells the detector of a run that has ended.
+// observeEnd passes the end of a run to the detector.
 func (r *Runner) observeEnd(now time.Time, t *task, ending worker.Ending) {
 	switch ending {
 	case worker.EndingDone:
@@ -58,13 +59,13 @@
 	}
 }
 
-// observeRejected tells the detector that the worker rejected a start as unhealthy.
+// observeRejected reports to the detector that the worker rejected a start as unhealthy.
 func (r *Runner) observeRejected(now time.Time, t *task) {
 	r.observe(now, t, ejection.EndRejected)
 }
 
-// observeNotBegun tells the detector that a start which was not answered has not begun a run. One to a worker that did not respond tells nothing
-// of how it runs tasks.
+// observeNotBegun reports to the detector that an unanswered start has not begun a run. A start on a worker that was
+// unresponsive is not counted, because it does not show how the worker runs tasks.
 func (r *Runner) observeNotBegun(now time.Time, t *task) {
 	if now.Sub(t.began) < timing.WorkerUnresponsiveAfter {
 		r.observe(now, t, ejection.EndRejected)
@@ -72,8 +73,7 @@
 	t.isProbe = false
 }
 
-// observeOverdue tells the detector of the runs that last far longer than expected, and stops those on an ejected worker, so that they run
-// elsewhere.
+// observeOverdue passes overdue runs to the detector, and stops those on an ejected worker so that they run elsewhere.
 func (r *Runner) observeOverdue(now time.Time) {
 	for _, t := range r.active() {
 		if !r.isOverdue(t) {
@@ -87,7 +87,8 @@
 	}
 }
 
-// isOverdue reports whether a task is running and overdue, by the worker's clock. An estimate that rests on a guess alone judges probes only.
+// isOverdue reports whether a task is running and overdue by the worker's clock. The caller's estimate is used for
+// probes only.
 func (r *Runner) isOverdue(t *task) bool {
 	if t.state != stateRunning || t.acceptedAt == 0 {
 		return false
@@ -100,7 +101,8 @@
 	return ejection.IsOverdue(progress, time.Duration(r.speed.timeFactor()*float64(usual)), t.isProbe)
 }
 
-// observeStop tells the detector of a probe that its entry stops: it has failed if it is overdue, and else tells nothing.
+// observeStop reports to the detector a probe that its entry stops. An overdue probe has failed; any other shows
+// nothing.
 func (r *Runner) observeStop(now time.Time, t *task) {
 	if t.isProbe && r.isOverdue(t) {
 		r.observe(now, t, ejection.EndOverdue)
--- a/internal/runner/probe.go
+++ b/internal/runner/probe.go
@@ -12,28 +12,30 @@
 
 // Probes of an ejected worker
 //
-// Inputs: how many probes are due (package ejection), the sessions, and which of them have sent starts or left probes unused lately.
-// Rule: a probe is offered to one entry at a time, those first that have sent starts lately; one that leaves it unused has its next turn after
-// the others, and ProbeOfferTime after the offer at the earliest. The first start that uses it is the probe.
-// Reason: entries have the tasks, and know which of them may fail. Without the pause an entry that gives probes back at once would be
-// offered one after the other.
+// Inputs: how many probes are due (package ejection), the sessions, and which of them have recently sent starts or left
+// probes unused.
+// Rule: a probe is offered to one entry at a time, first to those that have sent starts most recently. An entry that
+// left a probe unused comes after the others, and gets its next one no sooner than ProbeOfferTime after the previous
+// offer. The first start that uses the offer is the probe.
+// Reason: entries have the tasks and know which of them may fail. Without the pause, an entry that returns probes at
+// once would be offered one after another.
 
 const (
-	// ProbeOfferTime is for how long an entry may use a probe: a busy entry has a job for it in that time.
+	// ProbeOfferTime is how long an entry may use a probe. A busy entry has a job for it within that time.
 	ProbeOfferTime = 100 * time.Millisecond
 	// probeMargin is how much longer an agent waits for the answer: two round trips over a busy link.
 	probeMargin = 50 * time.Millisecond
-	// unusedProbePenalty is how long an entry that left a probe unused has its turn after those that did not.
+	// unusedProbePenalty is how long an entry that left a probe unused comes after those that did not.
 	unusedProbePenalty = time.Second
 )
 
-// isProbeOf reports whether an offer is a probe that was offered to a session.
+// isProbeOf reports whether an offer is a probe offered to the given session.
 func (r *Runner) isProbeOf(id SessionID, offer OfferID) bool {
 	o, ok := r.offers[offer]
 	return ok && o.isProbe && o.session == id
 }
 
-// useProbe makes a task a probe if it was sent for one. Another task cannot use it any more.
+// useProbe makes a task a probe if it uses the offer of one. No other task can use the offer after that.
 func (r *Runner) useProbe(t *task) {
 	if r.isProbeOf(t.session, t.Offer) {
 		t.isProbe = r.isEjected()
@@ -41,7 +43,7 @@
 	}
 }
 
-// withdrawProbes takes back the probes that no task has used, as one of them has failed.
+// withdrawProbes ends the offers of unused probes after a probe has failed.
 func (r *Runner) withdrawProbes() {
 	for id, o := range r.offers {
 		if o.isProbe {
@@ -50,7 +52,8 @@
 	}
 }
 
-// countProbes returns how many probes are offered, wait for their start or have run for less than ejection.ProbeTime.
+// countProbes returns the number of probes that are offered, waiting to start, or have run for less than
+// ejection.ProbeTime.
 func (r *Runner) countProbes(now time.Time) int {
 	count := 0
 	for _, o := range r.offers {
@@ -67,18 +70,18 @@
 	return count
 }
 
-// isPendingProbe reports whether a task is a probe that has not shown how the worker is.
+// isPendingProbe reports whether a task is a probe without a result.
 func (t *task) isPendingProbe() bool { return t.isProbe && !t.isJudged }
 
-// clearProbes makes probes that have not ended runs like others, as the worker is in service again.
+// clearProbes turns the remaining probes into ordinary tasks when the worker is in service again.
 func (r *Runner) clearProbes() {
 	for _, t := range r.tasks {
 		t.isProbe = false
 	}
 }
 
-// hasProbeRun reports whether a probe is queued or runs and has not shown how the worker is. The worker is asked often then, as its progress
-// is to show soon whether it hangs.
+// hasProbeRun reports whether a probe without a result is queued or active. The worker is then renewed often, so that
+// the progress of the run shows soon whether it hangs.
 func (r *Runner) hasProbeRun() bool {
 	if !r.isEjected() {
 		return false
@@ -105,7 +108,7 @@
 	}
 }
 
-// nextProbeSession returns the session whose turn it is to get a probe, or nil if none may.
+// nextProbeSession returns the session that gets the next probe, or nil if none may.
 func (r *Runner) nextProbeSession(now time.Time) *session {
 	var best *session
 	for _, s := range r.sessionsInOrder() {
@@ -116,7 +119,7 @@
 	return best
 }
 
-// hasProbe reports whether a session has a probe that it has not answered.
+// hasProbe reports whether a session has an unanswered probe offer.
 func (r *Runner) hasProbe(id SessionID) bool {
 	for _, o := range r.offers {
 		if o.isProbe && o.session == id {
@@ -126,8 +129,8 @@
 	return false
 }
 
-// compareProbeOrder returns the order in which two sessions get a probe: those first that have not left one unused lately, of these the one with the
-// latest start, of the others the one that left it first.
+// compareProbeOrder compares two sessions by the order in which they get probes: first those that have not recently
+// left one unused, the latest start first, then the others, the one that left its probe first.
 func (s *session) compareProbeOrder(other *session, now time.Time) int {
 	if order := trueFirst(!s.leftProbeUnused(now), !other.leftProbeUnused(now)); order != 0 {
 		return order
@@ -138,19 +141,20 @@
 	return cmp.Or(other.lastStart.Compare(s.lastStart), cmp.Compare(s.id, other.id))
 }
 
-// leftProbeUnused reports whether the entry has left a probe unused lately.
+// leftProbeUnused reports whether the entry has recently left a probe unused.
 func (s *session) leftProbeUnused(now time.Time) bool {
 	return !s.probeUnusedAt.IsZero() && now.Sub(s.probeUnusedAt) < unusedProbePenalty
 }
 
-// justLeftProbeUnused reports whether the entry has left its latest probe unused and could still keep it: it has no use for any at present, or is
-// of an older version.
+// justLeftProbeUnused reports whether the entry has returned its latest probe unused before the time to use it was
+// over: it has no task for a probe at present, or runs an older version.
 func (s *session) justLeftProbeUnused(now time.Time) bool {
 	isLatest := !s.probeUnusedAt.Before(s.probeOfferedAt)
 	return s.leftProbeUnused(now) && isLatest && now.Sub(s.probeOfferedAt) < ProbeOfferTime
 }
 
-// offerProbe offers a probe to a session. It keeps no resources, as nothing else is started on an ejected worker.
+// offerProbe offers a probe to a session. It reserves no resources, because nothing else is started on an ejected
+// worker.
 func (r *Runner) offerProbe(now time.Time, s *session) {
 	s.probeOfferedAt = now
 	r.lastOffer++
@@ -158,14 +162,14 @@
 	r.emit(SendOffer{Session: s.id, Offer: Offer{ID: r.lastOffer, Resources: r.free(), IsProbe: true}})
 }
 
-// noteUnusedProbe notes that a session has left a probe unused.
+// noteUnusedProbe records that a session has left a probe unused.
 func (r *Runner) noteUnusedProbe(now time.Time, o *offer) {
 	if s, ok := r.sessions[o.session]; ok && o.isProbe {
 		s.probeUnusedAt = now
 	}
 }
 
-// expireProbes ends the probes that were not answered in time.
+// expireProbes ends the probe offers that were not answered in time.
 func (r *Runner) expireProbes(now time.Time) {
 	for id, o := range r.offers {
 		if o.isProbe && now.After(o.expires) {
