--- a/internal/runner/headroom.go
+++ b/internal/runner/headroom.go
@@ -13,17 +13,18 @@
 
 // Headroom
 //
-// Inputs: what is free of the worker, the estimated time of a task, what the kinds of shorter tasks usually use here and use now (package
-// shares).
-// Rule: a task without an offer is started, and a reservation gets an offer, only if that leaves free what shorter tasks are due. Entries are
-// told with the load. It holds for scarceTime after several competitors waited for the worker.
-// Reason: room that is taken by a long task is gone for longer than short ones can wait. While nobody waits, it would only keep long tasks off
-// the workers that suit them.
+// Inputs: the free resources of the worker, the estimated run time of a task, and the usual and the present usage of
+// kinds with shorter tasks (package shares).
+// Rule: a task without an offer is started, and a reservation gets an offer, only if enough resources remain free for
+// kinds with shorter tasks. The headroom is sent to entries with the load. The rule applies for scarceTime after
+// several competitors have waited for the worker.
+// Reason: a long task occupies resources for longer than short tasks can wait. While nobody waits, headroom would only
+// keep long tasks off the workers that suit them.
 
-// reasonHeadroom is why a task without an offer is rejected that has to leave room for shorter ones.
+// reasonHeadroom is the reason for rejecting a task without an offer that would use the headroom of shorter tasks.
 const reasonHeadroom = "the free resources are kept for shorter tasks"
 
-// bounds returns what tasks leave free for shorter ones.
+// bounds returns the headroom that tasks must leave for shorter ones.
 func (r *Runner) bounds(now time.Time) []shares.Bound {
 	if r.sharing.areBoundsDue && !r.limits.NoShares {
 		r.sharing.areBoundsDue = false
@@ -35,20 +36,21 @@
 	return r.sharing.bounds
 }
 
-// freeFor returns the free resources that a task of an estimated time may use.
+// freeFor returns the free resources available to a task with the given estimated run time.
 func (r *Runner) freeFor(now time.Time, estimate time.Duration) worker.Resources {
 	free := r.free()
 	free.CPU -= shares.HeadroomCPU(r.bounds(now), estimate)
 	return free
 }
 
-// leavesRoom reports whether a task of a reservation fits into free resources beside what it has to leave for shorter ones.
+// leavesRoom reports whether a task of a reservation fits into the free resources less the headroom for shorter tasks.
 func (r *Runner) leavesRoom(now time.Time, free worker.Resources, reserved *reservation) bool {
 	left := shares.HeadroomCPU(r.bounds(now), reserved.Estimate)
 	return left == 0 || reserved.Needs.CPU <= free.CPU-left
 }
 
-// leavesHeadroom reports whether a task may start as far as shorter ones go, and notes it if not.
+// leavesHeadroom reports whether a task may start without using the headroom of shorter ones, and marks it as held back
+// if not.
 func (r *Runner) leavesHeadroom(now time.Time, t *task) bool {
 	if t.hasOffer || t.isRequeued || t.isProbe {
 		return true
@@ -57,8 +59,8 @@
 	return !t.isHeldBack
 }
 
-// hasReservations reports whether reservations wait that would use what is free or becomes free next. Those that have to leave room for
-// shorter tasks do not count, so that entries start these without an offer.
+// hasReservations reports whether any waiting reservation would use the resources that are free or become free next.
+// Reservations that must leave headroom do not count, so that entries can start shorter tasks without an offer.
 func (r *Runner) hasReservations(now time.Time) bool {
 	return slices.ContainsFunc(r.reservations, func(each *reservation) bool {
 		return shares.HeadroomCPU(r.bounds(now), each.Estimate) == 0 || each.Needs.Fits(r.freeFor(now, each.Estimate))
--- a/internal/runner/speed.go
+++ b/internal/runner/speed.go
@@ -10,35 +10,38 @@
 
 // Speed of the worker
 //
-// Inputs: the run time and the expected time of each run that is done, both as for the slowness (health.go).
-// Rule: the time factor is the mean ratio of the two, by its logarithm, over the life of the worker. Runs that take far longer or shorter
-// than by the present factor do not count, nor do those of a worker that is slow for the moment.
-// Reason: machines differ in speed for good. One that always takes 1.7 times as long is not ill, but a long job is late there. Entries
-// divide the run times that they learn by the factor, so that expected times are those of a worker of the factor 1.
+// Inputs: the run time and the expected time of each successful run, as for the slowness (health.go).
+// Rule: the time factor is the geometric mean of the ratio of the two over the lifetime of the worker's incarnation.
+// Runs whose ratio is far from the present factor do not count, nor do those on a worker that is temporarily slow.
+// Reason: machines differ permanently in speed. A machine that always takes 1.7 times as long is not faulty, but a long
+// job on it is late. Entries divide the run times that they learn by the factor, so that expected times are those of a
+// worker with factor 1.
 
 const (
-	// speedRuns is the number of runs over which the factor is averaged, and priorRuns how many runs the assumption counts for that it is 1.
+	// speedRuns is the number of runs over which the factor is averaged. priorRuns is the number of runs for which the
+	// initial assumption of a factor of 1 counts.
 	speedRuns = 64
 	priorRuns = 8
-	// maxSpeedRatio is by how many times the ratio of a run may differ from the present factor.
+	// maxSpeedRatio is the largest ratio, in either direction, between the ratio of a counted run and the present
+	// factor.
 	maxSpeedRatio = 3
-	// maxSteadySlowness is the slowness from which a worker is slow for the moment.
+	// maxSteadySlowness is the slowness above which a worker counts as temporarily slow.
 	maxSteadySlowness = 2
-	// minSpeedChange is the change of the factor that is sent to entries.
+	// minSpeedChange is the smallest change of the factor that is sent to entries at once.
 	minSpeedChange = 0.05
 )
 
-// speed is what is known of the worker's speed. The zero value is that of an unknown worker.
+// speed estimates the worker's speed. The zero value is that of an unknown worker.
 type speed struct {
 	// logarithm is the mean logarithm of the ratios, and runs the number of runs in it.
 	logarithm float64
 	runs      int
 }
 
-// timeFactor returns by how many times runs take longer than expected.
+// timeFactor returns the ratio of the worker's run times to the expected ones.
 func (s speed) timeFactor() float64 { return math.Exp(s.logarithm) }
 
-// observe returns the speed with a run that is done.
+// observe returns the speed updated with the ratio of a successful run.
 func (s speed) observe(ratio float64) speed {
 	difference := math.Log(ratio) - s.logarithm
 	if math.Abs(difference) > math.Log(maxSpeedRatio) {
@@ -49,7 +52,8 @@
 	return s
 }
 
-// noteSpeed learns the speed of the worker from a run that is done, and sends the load if it has changed by enough since that was last due to it.
+// noteSpeed updates the speed with a successful run, and sends the load if the factor differs enough from the one last
+// sent.
 func (r *Runner) noteSpeed(t *task, listed time.Duration) {
 	if !t.showsRunTime() || t.stretch(listed) <= 0 || r.health.slowness() > maxSteadySlowness {
 		return
