--- a/internal/runner/incarnation.go
+++ b/internal/runner/incarnation.go
@@ -10,63 +10,67 @@
 	"sailhead/internal/worker"
 )
 
-// maxEndedIncarnations is how many ended incarnations of the worker are remembered, so that their late heartbeats and
-// a stale record in the store are ignored.
+// maxEndedIncarnations is the number of ended incarnations of the worker that are remembered, so that their delayed
+// heartbeats and a stale record in the store are ignored.
 const maxEndedIncarnations = 32
 
-// incarnation is what the runner knows of the current incarnation of the worker.
+// incarnation is the state of the current incarnation of the worker.
 type incarnation struct {
 	record worker.Record
 	// isDescribed is set once a heartbeat or a stored record has described the incarnation; see restart.go.
 	isDescribed bool
-	// firstSeen is when this process learned of the incarnation.
+	// firstSeen is when this agent process learned of the incarnation.
 	firstSeen time.Time
-	// used is the sum of what the active tasks need.
+	// used is the sum of the resources of the active tasks.
 	used worker.Resources
-	// usedByKind is the CPU that the active tasks of each kind need, in thousandths of a core, without those that need none; see countUse.
+	// usedByKind is the CPU used by the active tasks of each kind, in thousandths of a core, without kinds that use
+	// none; see addUsage.
 	usedByKind map[string]int
-	// suspect is the task beside which nothing is started at present, or nil; see suspect.go.
+	// suspect is the task that is isolated at present, or nil; see suspect.go.
 	suspect *task
 	// contained is the contained job that was started last; see containment.go.
 	contained containedJob
-	// lastEndNumber is the number of the last end that was applied, and lastEnd when that was.
+	// lastEndNumber is the number of the latest applied end, and lastEnd the time at which it was applied.
 	lastEndNumber uint64
 	lastEnd       time.Time
-	// unacknowledged are the ends that the worker has to remember, by their numbers.
+	// unacknowledged are the ends that the worker must keep, by number.
 	unacknowledged map[uint64]*unacknowledgedEnd
-	// lastAnswered is when the latest renewal that was answered had been sent.
+	// lastAnswered is when the latest answered renewal was sent.
 	lastAnswered time.Time
-	// lastAccepted is when the latest start that it has accepted had been sent.
+	// lastAccepted is when the latest accepted start was sent.
 	lastAccepted time.Time
-	// refusedAt is when the call was made that found nobody listening, zero while none has.
+	// refusedAt is when the call was made that found nobody listening, or zero if there was none.
 	refusedAt time.Time
-	// askedAt is when the first renewal after that was sent that is no long poll, zero if none was: nothing is known then.
+	// askedAt is when the first renewal after the latest answered one, other than a long poll, was sent, or zero if
+	// there was none. If it is zero, the lack of an answer shows nothing.
 	askedAt time.Time
-	// closing is how the worker has closed its connections since then.
+	// closing records how connections to the worker have ended since then.
 	closing connectionLoss
-	// roundTrip is how long the latest renewal took that was answered at once or refused. Zero before the first one.
+	// roundTrip is the duration of the latest renewal that was refused or answered at once, or zero before the first
+	// one.
 	roundTrip time.Duration
-	// lastRenewal is when a lease was last requested, by a start or a renewal. Zero before the first one.
+	// lastRenewal is when a start or a renewal last requested a lease, or zero before the first one.
 	lastRenewal time.Time
-	// lastRenewSent is when the latest renewal that is no long poll was sent, with or without a lease.
+	// lastRenewSent is when the latest renewal other than a long poll was sent, with or without a lease.
 	lastRenewSent time.Time
-	// longPolling is set while a long poll waits at the worker. The next one is not sent before longPollAfter.
+	// longPolling is set while a long poll is in progress. The next one is not sent before longPollAfter.
 	longPolling   bool
 	longPollAfter time.Time
-	// clock is the worker's clock as read at clockRead. Zero while it is unknown.
+	// clock is the worker's clock as read at clockRead, or zero if it is unknown.
 	clock     time.Duration
 	clockRead time.Time
-	// listed is the latest listing's reading of the clock. Unlike answers to other calls a listing tells which process of the ID it is from.
+	// listed is the clock reading of the latest listing. Unlike answers to other calls, a listing identifies the
+	// process that sent it.
 	listed worker.Reply
-	// orphans are the stops of runs that this process did not start, by the names of the tasks.
+	// orphans are the stops of runs that this agent process did not start, by task name.
 	orphans map[string]*stop
-	// isSurveyed is set once all runs that an earlier process may have left are known; see orphan.go.
+	// isSurveyed is set once all runs that an earlier agent process may have left are known; see orphan.go.
 	isSurveyed bool
-	// reportsProgress is set once the worker has listed a run with some progress.
+	// reportsProgress is set once the worker has listed a run with a progress above zero.
 	reportsProgress bool
-	// wasUnresponsive is whether the worker did not respond at the latest tick.
+	// wasUnresponsive is set if the worker was unresponsive at the latest tick.
 	wasUnresponsive bool
-	// unhealthyUntil is when a worker that rejected a call as unhealthy accepts tasks again.
+	// unhealthyUntil is when a worker that rejected a call as unhealthy is tried again.
 	unhealthyUntil time.Time
 	// fullUntil is when a worker that rejected a start for lack of resources is tried again.
 	fullUntil time.Time
@@ -84,11 +88,12 @@
 	}
 }
 
-// tellsStart reports whether the worker tells when its process started. One that does may start again under its ID.
+// tellsStart reports whether the worker reports the start time of its process. Such a worker may restart under the same
+// ID.
 func (i *incarnation) tellsStart() bool { return i.record.StartedMillis != 0 }
 
-// addUsage adds CPU, in thousandths of a core, to what the active tasks of a kind need. Kinds that need none are forgotten, as their names
-// come from entries.
+// addUsage adds CPU, in thousandths of a core, to the usage of a kind. Kinds without usage are removed, because their
+// names come from entries.
 func (i *incarnation) addUsage(kind string, cpu int) {
 	i.usedByKind[kind] += cpu
 	if i.usedByKind[kind] == 0 {
@@ -96,8 +101,8 @@
 	}
 }
 
-// readClock stores a reading of the worker's clock. It is at least as old as the answer that carried it, so a lease
-// computed from it ends no later than intended.
+// readClock stores a reading of the worker's clock. The reading is at least as old as the answer that carried it, so a
+// lease computed from it ends no later than intended.
 func (i *incarnation) readClock(clock time.Duration, received time.Time) {
 	if clock <= 0 {
 		return
@@ -106,13 +111,14 @@
 	i.clockRead = received
 }
 
-// isCurrent reports whether the incarnation is the current one.
+// isCurrent reports whether an incarnation is the current one.
 func (r *Runner) isCurrent(incarnation worker.Incarnation) bool {
 	return r.worker != nil && r.worker.record.Incarnation() == incarnation
 }
 
-// handleHeartbeat applies a heartbeat. Those of ended incarnations and those overtaken by a later one are ignored, and those of
-// another incarnation than the current one lead to a question to the worker (candidate.go).
+// handleHeartbeat applies a heartbeat. Heartbeats of ended incarnations and those older than the latest one are
+// ignored. For a heartbeat of an incarnation other than the current one, the worker is asked whether it is that
+// incarnation (candidate.go).
 func (r *Runner) handleHeartbeat(now time.Time, record worker.Record) {
 	switch {
 	case r.hasEnded(record.Incarnation()):
@@ -122,13 +128,13 @@
 	case !r.isCurrent(record.Incarnation()):
 		r.handleUnknownIncarnation(record)
 	case r.worker.isDescribed && !r.worker.record.HasServiceAndZoneOf(record):
-		// An incarnation keeps its service and its zone, so this heartbeat is of another writer.
+		// An incarnation never changes its service or zone, so another writer sent this heartbeat.
 	case record.Sequence >= r.worker.record.Sequence:
 		r.updateRecord(now, record)
 	}
 }
 
-// beginIncarnation replaces the current incarnation of the worker by a new one, which ends all runs of the old one unless it has
+// beginIncarnation replaces the current incarnation of the worker. All runs of the old one end unless the new one has
 // the same ID; see restart.go.
 func (r *Runner) beginIncarnation(now time.Time, record worker.Record) {
 	if r.worker != nil && record.Incarnation().IsRestartOf(r.worker.record.Incarnation()) {
@@ -142,8 +148,8 @@
 	r.beginWith(now, newIncarnation(now, record))
 }
 
-// beginWith makes an incarnation the current one and asks it for a listing. Calls to an earlier process of the same ID may still
-// be on their way to the worker: the higher fencing token makes it reject them.
+// beginWith makes an incarnation the current one and requests a listing. Calls to an earlier process with the same ID
+// may still be in transit; the higher fencing token makes the worker reject them.
 func (r *Runner) beginWith(now time.Time, w *incarnation) {
 	if r.hadWorker && w.tellsStart() {
 		r.fence += checkStep
@@ -161,8 +167,8 @@
 	r.renew(now)
 }
 
-// handleRecalled applies the record that an earlier process of the agent stored, unless a heartbeat came first. The
-// record has no clock, so the worker gets no task before it has answered a renewal.
+// handleRecalled applies the record that an earlier agent process stored, unless a heartbeat arrived first. The record
+// contains no clock reading, so the worker gets no tasks before it has answered a renewal.
 func (r *Runner) handleRecalled(now time.Time, record worker.Record) {
 	if r.worker == nil && !r.hasEnded(record.Incarnation()) {
 		r.handleHeartbeat(now, record)
@@ -185,22 +191,22 @@
 	}
 }
 
-// handleWorkerLeft applies a sign-off. One that does not tell which process of the ID signed off may be that of an earlier one: if the
-// current one is known by its start, a renewal asks whether it is still there.
+// handleWorkerLeft applies a sign-off. A sign-off without a start time may come from an earlier process with the same
+// ID: if the start time of the current one is known, a renewal checks whether it still exists.
 func (r *Runner) handleWorkerLeft(now time.Time, e WorkerLeft) {
-	left := e.Incarnation
-	if r.worker != nil && left.StartedMillis == 0 && left.IsRestartOf(r.worker.record.Incarnation()) {
+	incarnation := e.Incarnation
+	if r.worker != nil && incarnation.StartedMillis == 0 && incarnation.IsRestartOf(r.worker.record.Incarnation()) {
 		r.requestListing(now)
 		return
 	}
-	if r.isCurrent(left) {
+	if r.isCurrent(incarnation) {
 		r.endIncarnation(now, endLeft)
 	}
-	r.rememberEnded(left)
+	r.rememberEnded(incarnation)
 }
 
-// handleWorkerState applies what a result of any call says about the worker itself: whether it still exists, and
-// whether it is healthy. Other results change nothing. made is when the call was made.
+// handleWorkerState applies what the result of a call shows about the worker itself: whether it still exists and
+// whether it is healthy. Other results have no effect. made is when the call was made.
 func (r *Runner) handleWorkerState(now time.Time, incarnation worker.Incarnation, made time.Time, result worker.Result) {
 	if !r.isCurrent(incarnation) {
 		return
@@ -218,31 +224,31 @@
 	}
 }
 
-// incarnationEnd is how an incarnation ended. The texts are reasons of outcomes, for logs and callers.
+// incarnationEnd is how an incarnation ended. The texts are the reasons given in logs and to callers.
 type incarnationEnd string
 
-// The ends of an incarnation.
+// How an incarnation can end.
 const (
 	endReplaced     incarnationEnd = "another life of the worker began"
 	endOtherAnswers incarnationEnd = "another incarnation of the worker answers"
 	endRestarted    incarnationEnd = "the worker started again"
 	endNotListening incarnationEnd = "the worker does not listen"
-	// endLeft is the only one that the worker announces.
+	// endLeft is the only end that the worker announces.
 	endLeft incarnationEnd = "the worker has left"
 )
 
-// isCrash reports whether the incarnation has crashed. A draining worker may end at any time without it.
+// isCrash reports whether the incarnation has crashed. A draining worker may end at any time without having crashed.
 func (e incarnationEnd) isCrash(record worker.Record) bool {
 	return e != endLeft && !record.Draining
 }
 
-// mayKeepID reports whether a later process of the same ID may have answered calls that were meant for the one that ended.
+// mayKeepID reports whether a later process with the same ID may have answered calls meant for the one that ended.
 func (e incarnationEnd) mayKeepID() bool {
 	return e == endRestarted || e == endNotListening
 }
 
-// endIncarnation reports all runs of the current incarnation as lost (unsettled.go), and its crash if it was one. After NotReached it may
-// begin again with the next heartbeat: only rememberEnded excludes it.
+// endIncarnation reports all runs of the current incarnation as lost (unsettled.go), and its crash if it crashed. After
+// NotReached the incarnation may become current again with its next heartbeat; only rememberEnded prevents that.
 func (r *Runner) endIncarnation(now time.Time, end incarnationEnd) {
 	if r.worker == nil {
 		return
@@ -256,7 +262,8 @@
 	r.markLoadDue()
 }
 
-// reportEnd reports the crash of an incarnation, if its end was one, and logs the end with the runs that may have been there.
+// reportEnd reports the crash of an incarnation, if it crashed, and logs its end with the runs that may have been on
+// it.
 func (r *Runner) reportEnd(now time.Time, ended *incarnation, end incarnationEnd) {
 	id, isCrash := ended.record.Incarnation(), end.isCrash(ended.record)
 	evidence, active := ended.evidence(now, end), r.active()
--- a/internal/runner/listing.go
+++ b/internal/runner/listing.go
@@ -11,21 +11,22 @@
 
 // Listings
 //
-// Inputs: the runs and the ends that the worker lists, and when the listing was requested.
-// Rule: each end is applied once, in the order of its number. A listed run that this process does not know is an orphan, unless the
-// listing was requested before the latest end was applied. A run whose start or stop is unconfirmed is decided by a listing that
-// was requested later.
-// Reason: answers on different connections may overtake one another, so a listing may be older than an end that is known. It speaks of
-// the moment at which the worker answered, which its clock tells, and of none before it was requested.
+// Inputs: the runs and ends that the worker lists, and when the listing was requested.
+// Rule: each end is applied once, in the order of the numbers. A listed run that is unknown to this process is an
+// orphan, unless the listing was requested before the latest end was applied. A run whose start or stop is unconfirmed
+// is decided by a listing that was requested later.
+// Reason: answers on different connections may overtake one another, so a listing may be older than an end that has
+// already been applied. It describes the worker at the time of its answer, which its clock gives, and that is no
+// earlier than the request.
 
-// applyListing applies the answer to a renewal: first the ends, then the runs that are listed, then what it shows about
-// runs whose start or stop is unconfirmed.
+// applyListing applies the answer to a renewal: first the ends, then the listed runs, then the runs whose start or stop
+// is unconfirmed.
 func (r *Runner) applyListing(now time.Time, e RenewAnswered, listing worker.Listing) {
 	sent := e.Sent
 	r.worker.readClock(listing.Clock, listing.Received)
 	r.worker.listed = listing.Reply
 	r.markResponsive(now, sent)
-	// A listing that was requested before the end of another answer was applied may still contain the run that ended.
+	// A listing requested before the end from another answer was applied may still contain the run that ended.
 	mayBeStale := !sent.After(r.worker.lastEnd)
 	for _, end := range listing.Ended {
 		r.applyEnd(now, listing, end)
@@ -43,7 +44,7 @@
 	r.survey(sent, mayBeStale)
 }
 
-// applyEnd applies a listed end once; the worker lists it until it is acknowledged.
+// applyEnd applies a listed end once. The worker lists it until it is acknowledged.
 func (r *Runner) applyEnd(now time.Time, listing worker.Listing, end worker.End) {
 	if end.Number <= r.worker.lastEndNumber {
 		return
@@ -81,8 +82,8 @@
 	}
 }
 
-// observeRun applies a listed run: it updates the progress of a known one and stops an orphan. In an outdated listing
-// an unknown run may be one whose end was applied, which is no orphan.
+// observeRun applies a listed run: it updates the progress of a known run and stops an orphan. In a stale listing, an
+// unknown run may be one whose end was already applied, rather than an orphan.
 func (r *Runner) observeRun(now time.Time, listing worker.Listing, mayBeStale bool, run worker.Run) {
 	t, ok := r.activeRun(run.Name, run.Run)
 	if !ok {
@@ -96,7 +97,7 @@
 	t.listedAt = listing.Clock
 }
 
-// resolve decides on a run whose start or stop is unconfirmed, by the listing that answers a renewal.
+// resolve decides a run whose start or stop is unconfirmed, by the listing that answers a renewal.
 func (r *Runner) resolve(now time.Time, e RenewAnswered, listing worker.Listing, t *task, isListed bool) {
 	switch t.state {
 	case stateChecking:
--- a/internal/runner/orphan.go
+++ b/internal/runner/orphan.go
@@ -12,14 +12,14 @@
 
 // Orphaned runs
 //
-// Inputs: runs and ends that the worker lists and that this process did not start, as an earlier process of the agent
-// leaves them behind.
-// Rule: an orphaned run is stopped like a task's (stop.go). The worker gets no new tasks until every orphan has ended, nor
-// before a listing that was requested Limits.Stop after the incarnation was first seen. Ends of orphans are resent to all
-// entries for timing.OrphanEndTimeout after the incarnation was first seen: they may belong to durable jobs.
-// Reason: the entry that owned the run has lost its session with the earlier process and will place the task elsewhere.
-// What an orphan uses is not known, and some workers start what does not fit. A run that the earlier process was
-// stopping need not be listed, and has ended after Limits.Stop.
+// Inputs: listed runs and ends that this process did not start, left behind by an earlier agent process.
+// Rule: an orphaned run is stopped like a task's run (stop.go). The worker gets no new tasks until every orphan has
+// ended, nor before a listing that was requested at least Limits.Stop after the incarnation was first seen. Ends of
+// orphans are resent to all entries until timing.OrphanEndTimeout after the incarnation was first seen, because they
+// may belong to durable jobs.
+// Reason: the entry that owned the run has lost its session with the earlier process and places the task elsewhere. The
+// resource usage of an orphan is unknown, and some workers accept starts that exceed their capacity. A run that the
+// earlier process was stopping may not be listed; it has ended after Limits.Stop.
 
 // stopOrphan stops a listed run that this process did not start.
 func (r *Runner) stopOrphan(now time.Time, run worker.Run) {
@@ -30,7 +30,7 @@
 	r.markLoadDue()
 }
 
-// resolveOrphans forgets the orphans that have ended according to a listing that was requested at sent.
+// resolveOrphans removes the orphans that have ended according to a listing requested at sent.
 func (r *Runner) resolveOrphans(sent time.Time, listed map[string]worker.Run) {
 	for name, orphan := range r.worker.orphans {
 		if _, isListed := listed[name]; !isListed && orphan.isOver(sent, r.stopBound()) {
@@ -52,8 +52,8 @@
 	r.markLoadDue()
 }
 
-// survey records that no run of an earlier process is unknown any more, if a listing that was requested at sent is late
-// enough. Such a run is listed, or was being stopped and has ended.
+// survey records that every run of an earlier process is known, if a listing requested at sent is late enough. Any such
+// run is either listed or was being stopped and has ended.
 func (r *Runner) survey(sent time.Time, mayBeStale bool) {
 	w := r.worker
 	if w.isSurveyed || mayBeStale || w.clock == 0 || !sent.After(w.firstSeen.Add(r.stopBound())) {
@@ -63,8 +63,9 @@
 	r.markLoadDue()
 }
 
-// hasHeard reports whether this process has heard of all runs that have ended on the worker, but for the latest moment: it has learned what
-// an earlier process left there, and the worker responds. The ends of an incarnation that has ended are gone with it.
+// hasHeard reports whether this process knows of every run that has ended on the worker, except in the latest moment:
+// it has learned what an earlier process left there, and the worker responds. The ends of an ended incarnation are lost
+// with it.
 func (r *Runner) hasHeard(now time.Time) bool {
 	if r.worker == nil {
 		return r.hadWorker
@@ -72,7 +73,7 @@
 	return r.worker.isSurveyed && !r.worker.isUnresponsive(now)
 }
 
-// noteHeard sends the load when hasHeard changes: an owner of durable jobs may wait for it.
+// noteHeard sends the load when hasHeard changes, because an owner of durable jobs may be waiting for it.
 func (r *Runner) noteHeard(now time.Time) {
 	if hasHeard := r.hasHeard(now); hasHeard != r.lastHeard {
 		r.lastHeard = hasHeard
@@ -80,7 +81,7 @@
 	}
 }
 
-// retainOrphanEnd makes the worker remember the end of an orphan, for a limited time.
+// retainOrphanEnd makes the worker keep the end of an orphan for a limited time.
 func (r *Runner) retainOrphanEnd(now time.Time, end worker.End) {
 	expires := r.worker.firstSeen.Add(timing.OrphanEndTimeout)
 	if hasResult(end.Ending) && now.Before(expires) && len(r.worker.unacknowledged) < maxUnacknowledged {
