--- a/internal/runner/acknowledge_test.go
+++ b/internal/runner/acknowledge_test.go
@@ -11,7 +11,7 @@
 	"sailhead/internal/worker"
 )
 
-// TestEveryDroppedEndIsLogged lets a worker restart with more unacknowledged ends than an agent keeps.
+// TestEveryDroppedEndIsLogged restarts a worker with more unacknowledged ends than an agent keeps.
 func TestEveryDroppedEndIsLogged(t *testing.T) {
 	const excess = 3
 	r, now := newSurveyedRunner()
@@ -29,7 +29,7 @@
 	apply(WorkerLeft{Incarnation: worker.Incarnation{ID: "w"}})
 	for number := range excess {
 		if name := fmt.Sprintf("j.0.0.%d", number); !dropped[name] {
-			t.Errorf("the end of %s was dropped without a line", name)
+			t.Errorf("the end of %s was dropped without a log event", name)
 		}
 	}
 	if len(dropped) != excess {
--- a/internal/runner/connections_test.go
+++ b/internal/runner/connections_test.go
@@ -13,22 +13,22 @@
 	"sailhead/internal/worker"
 )
 
-// connections are those of a schedule's agent to its worker. Long polls wait there, and are closed when the worker crashes or the
-// link resets them.
+// connections simulates the connections of a schedule's agent to its worker. Long polls wait at the worker, and are
+// closed when it crashes or when the link resets them.
 type connections struct {
 	*schedule
 	random *rand.Rand
-	// delay is the time of a message over the link at present.
+	// delay is the present one-way delay of the link.
 	delay time.Duration
-	// polls are the long polls that wait at the worker, and onTheWay those that have not reached it.
+	// polls are the long polls waiting at the worker, and inTransit those that have not reached it yet.
 	polls     map[int]*waitingPoll
 	inTransit map[int]*waitingPoll
 	last      int
-	// runsAtCrash has the runs that were on each incarnation when it crashed, by the names of their tasks.
+	// runsAtCrash are the runs that were on each incarnation when it crashed, by task name.
 	runsAtCrash map[worker.Incarnation]map[string]uint32
-	// resubmitted are the tasks that a second entry has started again under the same name and run number.
+	// resubmitted are the tasks that a second entry has started under the same name and run number.
 	resubmitted map[string]bool
-	// certain counts the runs that were reported as running for certain, and possible the others.
+	// certain counts the runs that were reported as certainly running, and possible the others.
 	certain, possible int
 }
 
@@ -38,7 +38,7 @@
 	answer func(worker.RenewResult)
 }
 
-// connect makes a schedule's long polls wait at the worker.
+// connect makes the long polls of a schedule wait at the worker.
 func (s *schedule) connect(seed uint64) *connections {
 	c := &connections{
 		schedule: s, random: rand.New(rand.NewPCG(seed, 5)), delay: minLinkDelay, polls: make(map[int]*waitingPoll),
@@ -50,14 +50,15 @@
 }
 
 const (
-	// minLinkDelay and maxLinkDelay bound the time of a message over the link.
+	// minLinkDelay and maxLinkDelay bound the one-way delay of the link.
 	minLinkDelay = 200 * time.Microsecond
 	maxLinkDelay = 20 * time.Millisecond
-	// shortestRun is how long runs take at least. Those of a longer estimate take a third of it at least, as in surelyRuns.
+	// shortestRun is the shortest time of a run. Runs with a longer estimate take at least a third of it, as in
+	// certainRunTime.
 	shortestRun = 100 * time.Millisecond
 )
 
-// scheduleFaults makes the link slow or quick, resets the long polls, and crashes the worker, now and then.
+// scheduleFaults changes the delay of the link, resets the long polls or crashes the worker at random times.
 func (c *connections) scheduleFaults() {
 	c.after(time.Duration(c.random.Int64N(int64(600*time.Millisecond))), func() {
 		switch c.random.IntN(4) {
@@ -74,11 +75,11 @@
 	})
 }
 
-// resubmitShare is one in how many tasks another entry starts again while the first one waits for it, as the job was handed over or
-// submitted there.
+// resubmitShare is the inverse of the share of tasks that another entry starts again while the first one waits for
+// them, as after a handover or a second submission of the job.
 const resubmitShare = 8
 
-// resubmit lets an entry start a task of another one, now and then.
+// resubmit lets an entry start a task of another entry in one of resubmitShare calls.
 func (c *connections) resubmit() {
 	ids := c.sorted()
 	if len(ids) < 2 || c.random.IntN(resubmitShare) > 0 {
@@ -102,7 +103,7 @@
 	return s.connections != nil && s.connections.resubmitted[name]
 }
 
-// crash notes what runs on the worker, which crashes. What had ended before was told to the long polls.
+// crash records what is running on the worker when it crashes. Earlier ends have been reported to the long polls.
 func (c *connections) crash() {
 	w := c.worker
 	w.advance(c.now)
@@ -115,7 +116,7 @@
 	c.closePolls(worker.Unanswered{Reason: "the connection was closed", IsClosed: true})
 }
 
-// closePolls closes the connections of all long polls, also of those that have not reached the worker.
+// closePolls closes the connections of all long polls, including those that have not reached the worker.
 func (c *connections) closePolls(result worker.Unanswered) {
 	for _, polls := range []map[int]*waitingPoll{c.polls, c.inTransit} {
 		for _, id := range slices.Sorted(maps.Keys(polls)) {
@@ -126,7 +127,7 @@
 	}
 }
 
-// renew carries out a renewal and hands the agent the answer. A long poll waits for an end.
+// renew carries out a renewal and passes the answer to the agent. A long poll waits for an end.
 func (c *connections) renew(e CallRenew) {
 	sent, epoch, delay := c.now, c.epoch, c.delay
 	answer := func(result worker.RenewResult) {
@@ -158,7 +159,7 @@
 	})
 }
 
-// answerPoll answers a long poll that still waits.
+// answerPoll answers a long poll if it is still waiting.
 func (c *connections) answerPoll(id int) {
 	if p, ok := c.polls[id]; ok {
 		delete(c.polls, id)
@@ -166,7 +167,7 @@
 	}
 }
 
-// answerPolls answers the long polls if the worker has ends to tell.
+// answerPolls answers the long polls if the worker has ends to report.
 func (c *connections) answerPolls() {
 	if len(c.worker.ends) == 0 {
 		return
@@ -176,7 +177,7 @@
 	}
 }
 
-// check checks a report of a crash: what was running for certain was on the worker.
+// check verifies that every run reported as certainly running at a crash was on the worker.
 func (c *connections) check(crash Crash) {
 	runs, isKnown := c.runsAtCrash[crash.Incarnation]
 	if !isKnown {
@@ -194,11 +195,11 @@
 	}
 }
 
-// TestRandomSchedulesReportNoRunThatHasEnded crashes the worker at random moments, over links that are quick, slow or reset, while
-// calls are lost and late and agent and entries restart, other entries start the same tasks and probes are played. No run that has ended is
-// reported as running for certain.
+// TestRandomSchedulesReportNoRunThatHasEnded crashes the worker at random times, over links that are fast, slow or
+// reset, while calls are lost or delayed, the agent and entries restart, other entries start the same tasks, and probes
+// are sent. No run that has ended may be reported as certainly running.
 //
-// Seen: see TestARunThatEndedUnheardIsNoEvidence in package overload.
+// TestARunThatEndedUnheardIsNoEvidence in package overload covers the same failure.
 func TestRandomSchedulesReportNoRunThatHasEnded(t *testing.T) {
 	certain, possible := 0, 0
 	for seed := *first; seed < *first+uint64(*schedules); seed++ {
@@ -212,6 +213,6 @@
 	}
 	t.Logf("%d runs reported as running for certain, %d as possibly running", certain, possible)
 	if certain < possible/10 {
-		t.Errorf("%d runs reported as running for certain and %d as possibly running: hardly any crash tells anything", certain, possible)
+		t.Errorf("%d runs reported as running for certain and %d as possibly running: too few crashes give certain evidence", certain, possible)
 	}
 }
--- a/internal/runner/fakeworker_test.go
+++ b/internal/runner/fakeworker_test.go
@@ -10,26 +10,26 @@
 	"sailhead/internal/worker"
 )
 
-// fakeRun is a run at the fake worker.
+// fakeRun is a run on the fake worker.
 type fakeRun struct {
 	run   uint32
 	ends  time.Time
 	fails bool
-	// stopping is when a stop takes effect, or zero without one.
+	// stopping is when a stop takes effect, or zero if there is none.
 	stopping time.Time
 	// until is the end of the lease on the worker's clock.
 	until time.Duration
 }
 
-// fakeWorker is a worker that behaves as the platform's description says, on virtual time.
+// fakeWorker implements the worker protocol of the platform's description in virtual time.
 type fakeWorker struct {
 	id string
-	// started is when it started, in milliseconds since 1970, or zero if it does not tell.
+	// started is the start time in milliseconds since 1970, or zero if the worker does not report it.
 	started int64
-	// downUntil is until when nothing listens, as a process takes some time to start.
+	// downUntil is when the worker starts listening after a restart, because a process takes some time to start.
 	downUntil time.Time
 	capacity  worker.Resources
-	// earlier is the capacity until resizedAt, when it was changed.
+	// earlier is the capacity before resizedAt, when it was changed.
 	earlier   worker.Resources
 	resizedAt time.Time
 	origin    time.Time
@@ -39,16 +39,17 @@
 	fence    uint64
 	runs     map[string]*fakeRun
 	needs    func(name string) worker.Resources
-	// hidesStopping leaves a run out of the listing from its stop until its end is listed.
+	// hidesStopping omits a run from listings from its stop until its end is listed.
 	hidesStopping bool
-	// isUnguarded makes the worker accept starts that do not fit; overfilledBy is the latest such task, or empty.
+	// isUnguarded makes the worker accept starts that exceed its capacity. overfilledBy is the latest such task, or
+	// empty.
 	isUnguarded  bool
 	overfilledBy string
-	// highest is the highest run of each task that was stopped or has ended.
+	// highest is the highest run number of each task that was stopped or has ended.
 	highest map[string]uint32
 	ends    []worker.End
 	number  uint64
-	// begun counts the runs of each task, and done those that are done.
+	// begun counts the runs of each task that have begun, and done those that were successful.
 	begun map[string]int
 	done  map[string]int
 	last  time.Time
@@ -81,7 +82,7 @@
 	w.ends = append(w.ends, worker.End{Number: w.number, Name: name, Run: r.run, Ending: ending})
 }
 
-// advance ends the runs that are over by now, in the order of their names.
+// advance ends the runs that are over by now, in the order of the task names.
 func (w *fakeWorker) advance(now time.Time) {
 	names := make([]string, 0, len(w.runs))
 	for name := range w.runs {
@@ -112,8 +113,9 @@
 	return used
 }
 
-// resizeNotice is how long starts are judged by the larger of the capacities before and after a change. The users' rules give some
-// seconds; here the heartbeat follows after a millisecond, and calls that are not late take a few more.
+// resizeNotice is how long the larger of the capacities before and after a change applies to starts. The users' rules
+// allow several seconds; here the heartbeat follows after a millisecond, and a call that is not delayed takes a few
+// more.
 const resizeNotice = 100 * time.Millisecond
 
 // resize changes the capacity.
@@ -121,7 +123,7 @@
 	w.earlier, w.capacity, w.resizedAt = w.capacity, capacity, now
 }
 
-// accepted returns the capacity that a start may fill.
+// accepted returns the capacity that is available to starts.
 func (w *fakeWorker) accepted(now time.Time) worker.Resources {
 	if now.Sub(w.resizedAt) < resizeNotice && w.capacity.Fits(w.earlier) {
 		return w.earlier
@@ -144,7 +146,7 @@
 	}
 }
 
-func (w *fakeWorker) start(now time.Time, incarnation worker.Incarnation, s worker.StartRequest, takes time.Duration, fails bool) worker.StartResult {
+func (w *fakeWorker) start(now time.Time, incarnation worker.Incarnation, s worker.StartRequest, runTime time.Duration, fails bool) worker.StartResult {
 	w.advance(now)
 	if now.Before(w.downUntil) {
 		return worker.NotReached{}
@@ -171,7 +173,7 @@
 		}
 		w.overfilledBy = s.Name
 	}
-	w.runs[s.Name] = &fakeRun{run: s.Run, ends: now.Add(takes), fails: fails, until: min(s.LeaseUntil, w.clock(now)+w.maxLease)}
+	w.runs[s.Name] = &fakeRun{run: s.Run, ends: now.Add(runTime), fails: fails, until: min(s.LeaseUntil, w.clock(now)+w.maxLease)}
 	w.begun[s.Name]++
 	return worker.Accepted{Reply: w.reply(now)}
 }
--- a/internal/runner/health_test.go
+++ b/internal/runner/health_test.go
@@ -11,10 +11,10 @@
 	"sailhead/internal/worker"
 )
 
-// testListedAt is when the runs of the tests were listed, on the worker's clock.
+// testListedAt is when the runs in the tests were listed, on the worker's clock.
 const testListedAt = time.Hour
 
-// runningTask returns a task whose run began some time before it was listed.
+// runningTask returns a task whose run began the given time before it was listed.
 func runningTask(name string, ago, expected time.Duration, progress int) *task {
 	return &task{
 		Task: Task{Name: name, Expected: expected}, state: stateRunning, acceptedAt: testListedAt - ago, progress: progress, listedAt: testListedAt,
@@ -59,7 +59,7 @@
 		h.update(now, hanging, 1)
 	}
 	if h.slowness() < unhealthy {
-		t.Fatalf("slowness %.1f while all tasks stand still, want at least %.1f", h.slowness(), unhealthy)
+		t.Fatalf("slowness %.1f while no task makes progress, want at least %.1f", h.slowness(), unhealthy)
 	}
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
@@ -90,10 +90,9 @@
 	}
 }
 
-// TestARunThatIsHeardLateIsNotSlow plays an agent that is paused for a second, or hears its worker over a slow link.
-//
-// Seen by reading: the time of a run was counted until the agent handled the answer with its end. After a pause of its process every
-// run looked ten times slower than usual, and its worker was avoided for a second or two, though it had done nothing wrong.
+// TestARunThatIsHeardLateIsNotSlow covers an agent that is paused for a second, or has a slow link to its worker. If
+// the run time were measured until the agent handles the answer, every run would look ten times slower than usual after
+// a pause, and entries would avoid a healthy worker for one or two seconds.
 func TestARunThatIsHeardLateIsNotSlow(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	r := newServingRunner(now, 1)
@@ -116,10 +115,9 @@
 	}
 }
 
-// TestRunsThatSavedCheckpointsCount plays runs that take ten times their usual time and saved a checkpoint on the way.
-//
-// Seen by reading: the checkpoint of the end was stored before the time of the run was judged, so each run with one was taken for one
-// that had begun part-way, and a worker that slowed down only such tasks stayed healthy.
+// TestRunsThatSavedCheckpointsCount covers runs that take ten times their usual time and save a checkpoint. If the
+// checkpoint of the end were stored before the run time is evaluated, each of them would count as resumed from a
+// checkpoint and be ignored, and a worker that is slow only for such tasks would stay healthy.
 func TestRunsThatSavedCheckpointsCount(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	r := newServingRunner(now, 1)
--- a/internal/runner/load_test.go
+++ b/internal/runner/load_test.go
@@ -11,7 +11,7 @@
 	"sailhead/internal/worker"
 )
 
-// newServingRunner returns a runner whose worker accepts tasks, with one session for each of count entries.
+// newServingRunner returns a runner whose worker accepts tasks, with count entries of one session each.
 func newServingRunner(now time.Time, count int) *Runner {
 	r := New(DefaultLimits(time.Second, 50*time.Millisecond), 7)
 	r.Handle(now, HeartbeatReceived{Record: worker.Record{ID: "w", Service: "svc", Capacity: worker.Resources{CPU: 16000}, Clock: time.Hour}})
@@ -22,9 +22,9 @@
 	return r
 }
 
-// TestLoadsDoNotGrowWithTheNumberOfEntries counts the loads of a second in which the load changes every 2 ms by tasks of
-// session 1. That session gets a load every 20 ms. The others together get at most 125 a second, or as many as pings if their
-// pace would be slower.
+// TestLoadsDoNotGrowWithTheNumberOfEntries counts the loads sent in a second in which tasks of session 1 change the
+// load every 2 ms. That session gets a load every 20 ms. All others together get at most 125 a second, or as many as
+// there are pings if that is more.
 func TestLoadsDoNotGrowWithTheNumberOfEntries(t *testing.T) {
 	for _, test := range []struct{ entries, mostOfOthers int }{{3, 92}, {15, 125}, {100, 99 * 9}} {
 		now := time.Unix(1_000_000, 0)
@@ -57,12 +57,11 @@
 	}
 }
 
-// TestAnIdleWorkerTellsThatItHasRecovered plays a worker that was slow and failed runs, and gets no tasks for it.
-//
-// Seen: in a soak (seed 7006) two of four workers got no task for eight seconds while jobs were refused, though both accepted tasks and
-// were idle. Their agents' averages had long fallen, but the entries had the last load, with a slowness of more than 2.5: a load was
-// sent when the slowness changed by much within one tick, and it falls slowly. Until then loads had come along by chance, as idle
-// workers counted as unresponsive now and then.
+// TestAnIdleWorkerTellsThatItHasRecovered covers a worker that was slow and failed runs, and therefore gets no tasks.
+// If a load is sent only when the slowness changes by much within one tick, the slow decay of the averages is never
+// sent, and entries keep avoiding the worker after it has recovered. In a soak (seed 7006), two of four idle workers
+// got no task for eight seconds while jobs were refused, because the entries still had a load with a slowness above
+// 2.5.
 func TestAnIdleWorkerTellsThatItHasRecovered(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	r := newServingRunner(now, 1)
@@ -87,6 +86,6 @@
 		}
 	}
 	if told.Slowness > 1+2*minHealthChange || told.FailureRate > 0.25 {
-		t.Errorf("after 5 s the entry was told of a slowness of %.1f and a failure rate of %.2f; they are %.1f and %.2f", told.Slowness, told.FailureRate, r.health.slowness(), r.health.failureRate())
+		t.Errorf("after 5 s the entry last received a slowness of %.1f and a failure rate of %.2f; the averages are %.1f and %.2f", told.Slowness, told.FailureRate, r.health.slowness(), r.health.failureRate())
 	}
 }
--- a/internal/runner/script_test.go
+++ b/internal/runner/script_test.go
@@ -17,16 +17,16 @@
 	"sailhead/internal/worker"
 )
 
-// script feeds a runner with events from the commands of a file in testdata.
+// script feeds events to a runner, read from the commands of a file in testdata.
 type script struct {
 	t      *testing.T
 	now    time.Time
 	runner *Runner
 	// number counts the starts.
 	number uint64
-	// ends counts the ends that were listed.
+	// ends counts the listed ends.
 	ends uint64
-	// sent has when each start was sent.
+	// sent is when each start was sent.
 	sent map[RunID]time.Time
 	// revision is that of the latest change of an availability zone.
 	revision evacuation.Revision
@@ -35,7 +35,7 @@
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		limits := DefaultLimits(time.Second, 50*time.Millisecond)
-		// Some scripts crash worker after worker within milliseconds, which ejects it.
+		// Some scripts crash several workers within milliseconds, which would eject the worker.
 		limits.NoEjection = filepath.Base(path) != "ejection"
 		s := &script{t: t, now: time.Unix(1_000_000, 0), runner: New(limits, 7), sent: make(map[RunID]time.Time)}
 		datadriven.RunTest(t, path, s.run)
@@ -49,15 +49,15 @@
 	return value
 }
 
-// clock returns the worker's clock, which is the same as the agent's in scripts.
+// clock returns the worker's clock, which equals the agent's in scripts.
 func (s *script) clock() time.Duration { return time.Duration(s.now.UnixNano()) }
 
 func (s *script) reply() worker.Reply { return worker.Reply{Clock: s.clock(), Received: s.now} }
 
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
-	first := ""
+	firstArg := ""
 	if len(d.CmdArgs) > 0 {
-		first = d.CmdArgs[0].Key
+		firstArg = d.CmdArgs[0].Key
 	}
 	session := SessionID(intArg(t, d, "session", 1))
 	started := int64(intArg(t, d, "started", 0))
@@ -69,7 +69,7 @@
 	switch d.Cmd {
 	case "worker":
 		output := s.handle(HeartbeatReceived{Record: worker.Record{
-			ID: first, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: intArg(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
+			ID: firstArg, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: intArg(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
 			Sequence: uint64(s.now.UnixMilli()), Clock: s.clock(),
 		}})
 		if s.runner.candidate != nil {
@@ -81,15 +81,15 @@
 		return output
 	case "heartbeat":
 		return s.handle(HeartbeatReceived{Record: worker.Record{
-			ID: first, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: intArg(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
+			ID: firstArg, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: intArg(t, d, "cpu", 4000)}, Draining: d.HasArg("draining"),
 			Sequence: uint64(s.now.UnixMilli()), Clock: s.clock(),
 		}})
 	case "recall":
-		return s.handle(StoredWorkerLoaded{Record: worker.Record{ID: first, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: 4000}}})
+		return s.handle(StoredWorkerLoaded{Record: worker.Record{ID: firstArg, StartedMillis: started, Service: "svc", Zone: "z", Capacity: worker.Resources{CPU: 4000}}})
 	case "left":
-		return s.handle(WorkerLeft{Incarnation: worker.Incarnation{ID: first, StartedMillis: started}})
+		return s.handle(WorkerLeft{Incarnation: worker.Incarnation{ID: firstArg, StartedMillis: started}})
 	case "open":
-		return s.handle(SessionOpened{Session: session, Entry: first})
+		return s.handle(SessionOpened{Session: session, Entry: firstArg})
 	case "close":
 		return s.handle(SessionClosed{Session: session})
 	case "pong":
@@ -97,32 +97,32 @@
 	case "start":
 		s.number++
 		return s.handle(StartRequested{Session: session, Number: s.number, Task: Task{
-			Name: first, Run: run, Needs: worker.Resources{CPU: intArg(t, d, "cpu", 1000)}, Expected: time.Duration(intArg(t, d, "expected", 100)) * time.Millisecond,
+			Name: firstArg, Run: run, Needs: worker.Resources{CPU: intArg(t, d, "cpu", 1000)}, Expected: time.Duration(intArg(t, d, "expected", 100)) * time.Millisecond,
 			MaxWait: time.Duration(intArg(t, d, "wait", 0)) * time.Millisecond, IsDurable: d.HasArg("durable"),
 			Urgency: s.urgency(t, d), Offer: OfferID(intArg(t, d, "offer", 0)), Kind: "kind", IsContained: d.HasArg("contained"),
 			KindFailureRate: float64(intArg(t, d, "kind_failures", 0)) / 100, IgnoresEjection: d.HasArg("ignores_ejection"), Estimate: time.Duration(intArg(t, d, "estimate", 100)) * time.Millisecond,
 		}})
 	case "reserve":
 		return s.handle(ReservationRequested{Session: session, Reservation: Reservation{
-			Job: first, Needs: worker.Resources{CPU: intArg(t, d, "cpu", 1000)}, Count: intArg(t, d, "count", 1), Urgency: s.urgency(t, d),
+			Job: firstArg, Needs: worker.Resources{CPU: intArg(t, d, "cpu", 1000)}, Count: intArg(t, d, "count", 1), Urgency: s.urgency(t, d),
 		}})
 	case "answer":
 		return s.handle(OfferAnswered{Session: session, Offer: OfferID(intArg(t, d, "offer", 0))})
 	case "evacuate", "take_back":
-		return s.evacuate(first, d.Cmd == "evacuate", evacuation.Revision(intArg(t, d, "revision", 0)))
+		return s.evacuate(firstArg, d.Cmd == "evacuate", evacuation.Revision(intArg(t, d, "revision", 0)))
 	case "acknowledged":
-		return s.handle(EndAcknowledged{Name: first, Run: run})
+		return s.handle(EndAcknowledged{Name: firstArg, Run: run})
 	case "stop":
-		return s.handle(StopRequested{Session: session, Name: first})
+		return s.handle(StopRequested{Session: session, Name: firstArg})
 	case "started":
 		return s.handle(StartAnswered{
-			Incarnation: incarnation, Name: first, Run: run, Sent: s.sent[RunID{Task: first, Run: run}], Ended: s.now, Result: s.startResult(t, d.CmdArgs[1].Key),
+			Incarnation: incarnation, Name: firstArg, Run: run, Sent: s.sent[RunID{Task: firstArg, Run: run}], Ended: s.now, Result: s.startResult(t, d.CmdArgs[1].Key),
 		})
 	case "stopped":
-		return s.handle(StopAnswered{Incarnation: incarnation, Name: first, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key).(worker.StopResult)})
+		return s.handle(StopAnswered{Incarnation: incarnation, Name: firstArg, Run: run, Result: s.startResult(t, d.CmdArgs[1].Key).(worker.StopResult)})
 	case "listed":
 		var result worker.RenewResult = worker.WrongIncarnation{Reply: s.reply()}
-		if first != "wrong_incarnation" {
+		if firstArg != "wrong_incarnation" {
 			result = s.listing(t, d)
 		}
 		return s.handle(RenewAnswered{
@@ -139,7 +139,7 @@
 		s.now = s.now.Add(time.Duration(intArg(t, d, "ms", 0)) * time.Millisecond)
 		return s.handle(Ticked{})
 	case "suspend":
-		// Time goes on, and the timers are late: the next event is handled before a tick.
+		// Time passes without a tick: the next event is handled before it.
 		s.now = s.now.Add(time.Duration(intArg(t, d, "ms", 0)) * time.Millisecond)
 		return ""
 	case "shutdown":
@@ -150,7 +150,7 @@
 	}
 }
 
-// took reads how long a call took, zero by default.
+// took parses the duration of a call, zero by default.
 func (s *script) took(t *testing.T, d *datadriven.TestData) time.Duration {
 	return time.Duration(intArg(t, d, "took", 0)) * time.Millisecond
 }
@@ -165,13 +165,14 @@
 	return s.handle(EvacuationsReceived{State: evacuation.New(0, []evacuation.Change{change})})
 }
 
-// urgency reads the urgency of a task or reservation. Its job can be in time if it starts within 100 ms, by default.
+// urgency parses the urgency of a task or reservation. By default, its job meets its deadline if it starts within 100
+// ms.
 func (s *script) urgency(t *testing.T, d *datadriven.TestData) Urgency {
 	slack := time.Duration(intArg(t, d, "slack", 100)) * time.Millisecond
 	return Urgency{HasStarted: d.HasArg("begun"), Priority: intArg(t, d, "priority", 0), StartBy: s.now.Add(slack)}
 }
 
-// survey lets a new incarnation answer the listing that shows that nothing runs on it, after which it gets tasks.
+// survey makes a new incarnation answer with the listing that shows that nothing runs on it. After that it gets tasks.
 func (s *script) survey() {
 	if w := s.runner.worker; w != nil && !w.isSurveyed {
 		s.now = s.now.Add(s.runner.stopBound() + time.Millisecond)
@@ -196,7 +197,7 @@
 	return result
 }
 
-// listing parses a listing: NAME=RUN is a running task, NAME=(RUN,ENDING) the end of one.
+// listing parses a listing: NAME=RUN is a running task, NAME=(RUN,ENDING) the end of a run.
 func (s *script) listing(t *testing.T, d *datadriven.TestData) worker.Listing {
 	endings := map[string]worker.Ending{"done": worker.EndingDone, "failed": worker.EndingFailed, "stopped": worker.EndingStopped, "lease_expired": worker.EndingLeaseExpired}
 	l := worker.Listing{Reply: s.reply(), StartedMillis: int64(intArg(t, d, "by", intArg(t, d, "started", 0)))}
@@ -218,7 +219,7 @@
 	return l
 }
 
-// handle applies an event and returns the effects as text, without those that only report: pings, records and loads.
+// handle applies an event and returns the effects as text, except pings, records and loads.
 func (s *script) handle(event Event) string {
 	var out strings.Builder
 	for _, effect := range s.runner.Handle(s.now, event) {
--- a/internal/runner/speed_test.go
+++ b/internal/runner/speed_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestASlowMachineIsHealthy runs tasks on a worker that always takes 1.8 times the expected time: its factor becomes known, and it does not
-// count as slow for the moment. Its next incarnation is unknown again.
+// TestASlowMachineIsHealthy runs tasks on a worker that always takes 1.8 times the expected time. Its time factor
+// becomes known, and it does not count as temporarily slow. The speed of its next incarnation is unknown again.
 func TestASlowMachineIsHealthy(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	r := newServingRunner(now, 1)
