--- a/internal/runner/connections_test.go
+++ b/internal/runner/connections_test.go
@@ -23,7 +23,7 @@
 	// polls are the long polls waiting at the worker, and inTransit those that have not reached it yet.
 	polls     map[int]*waitingPoll
 	inTransit map[int]*waitingPoll
-	last      int
+	lastCall  int
 	// runsAtCrash are the runs that were on each incarnation when it crashed, by task name.
 	runsAtCrash map[worker.Incarnation]map[string]uint32
 	// resubmitted are the tasks that a second entry has started under the same name and run number.
@@ -139,8 +139,8 @@
 			}
 		})
 	}
-	c.last++
-	id := c.last
+	c.lastCall++
+	id := c.lastCall
 	if e.Renew.Wait > 0 {
 		c.inTransit[id] = &waitingPoll{call: e, answer: answer}
 	}
--- a/internal/runner/ejection.go
+++ b/internal/runner/ejection.go
@@ -61,13 +61,13 @@
 		return
 	}
 	r.observeOverdue(now)
-	r.noteUnresponsive(now)
+	r.observeUnresponsive(now)
 	r.ejection.detector.Advance(now, r.hasProbeRun() || r.refusalReason(now) != "")
 }
 
-// noteUnresponsive reports to the detector that the worker has stopped answering. If the worker turns out to have
+// observeUnresponsive reports to the detector that the worker has stopped answering. If the worker turns out to have
 // crashed, it is not counted again.
-func (r *Runner) noteUnresponsive(now time.Time) {
+func (r *Runner) observeUnresponsive(now time.Time) {
 	isUnresponsive := r.worker.isUnresponsive(now)
 	if isUnresponsive && !r.worker.wasUnresponsive {
 		r.ejection.detector.WentDown(now)
--- a/internal/runner/evidence.go
+++ b/internal/runner/evidence.go
@@ -108,7 +108,7 @@
 		minDuration = minWaitedTime
 	}
 	reachedWorker := e.Took >= max(minDuration, pollRoundTrips*i.roundTrip)
-	if reachedWorker && i.closing.pollAt.IsZero() && e.Ended.Sub(i.lastAlive()) <= maxAnswerAge {
+	if reachedWorker && i.closing.pollAt.IsZero() && e.Ended.Sub(i.lastAnsweredCall()) <= maxAnswerAge {
 		i.closing.pollAt, i.closing.pollTook = e.Ended, e.Took
 		if i.closing.byPeerAt.IsZero() {
 			i.closing.byPeerAt = e.Ended
@@ -142,8 +142,8 @@
 	}
 }
 
-// lastAlive returns when the latest call that the incarnation answered was sent.
-func (i *incarnation) lastAlive() time.Time {
+// lastAnsweredCall returns when the latest call that the incarnation answered was sent.
+func (i *incarnation) lastAnsweredCall() time.Time {
 	if i.lastAccepted.After(i.lastAnswered) {
 		return i.lastAccepted
 	}
@@ -173,9 +173,9 @@
 	estimatedAt, latestAt time.Time
 	// hadLongPoll is set if a long poll was waiting at the worker, which would have reported any earlier end.
 	hadLongPoll bool
-	// mayKeepID is set if a later process with the same ID may have accepted a run. lastSeenAlive is the latest time at
+	// mayReuseID is set if a later process with the same ID may have accepted a run. lastSeenAlive is the latest time at
 	// which the incarnation is known to have existed.
-	mayKeepID     bool
+	mayReuseID    bool
 	lastSeenAlive time.Time
 	// refusedAt is when the call was made that found nobody listening, or zero if there was none.
 	refusedAt time.Time
@@ -183,7 +183,7 @@
 
 // evidence describes the crash of the incarnation if it is detected now with the given end.
 func (i *incarnation) evidence(now time.Time, end incarnationEnd) crashEvidence {
-	evidence := crashEvidence{estimatedAt: now, latestAt: now, mayKeepID: i.tellsStart() && end.mayKeepID(), lastSeenAlive: i.lastAnswered}
+	evidence := crashEvidence{estimatedAt: now, latestAt: now, mayReuseID: i.tellsStart() && end.mayReuseID(), lastSeenAlive: i.lastAnswered}
 	if end == endNotListening {
 		evidence.refusedAt = i.refusedAt
 	}
@@ -205,7 +205,7 @@
 // describeEvidence returns the evidence about the end of the incarnation for the log, if it is detected now.
 func (i *incarnation) describeEvidence(now time.Time) EndEvidence {
 	described := EndEvidence{
-		HadLongPoll: i.hadLongPoll(), PollTook: i.closing.pollTook, RoundTrip: i.roundTrip, SinceAnswered: now.Sub(i.lastAlive()),
+		HadLongPoll: i.hadLongPoll(), PollTook: i.closing.pollTook, RoundTrip: i.roundTrip, SinceAnswered: now.Sub(i.lastAnsweredCall()),
 	}
 	if !i.closing.byPeerAt.IsZero() {
 		described.SinceClosed = now.Sub(i.closing.byPeerAt)
@@ -227,7 +227,7 @@
 // isOfIncarnation reports whether a run was confirmed by the incarnation that crashed, rather than by a later one that
 // still exists.
 func (e crashEvidence) isOfIncarnation(t *task) bool {
-	return !e.mayKeepID || t.isOnClock || t.confirmedAt.Before(e.lastSeenAlive) || t.confirmedAt.Before(e.refusedAt)
+	return !e.mayReuseID || t.isOnClock || t.confirmedAt.Before(e.lastSeenAlive) || t.confirmedAt.Before(e.refusedAt)
 }
 
 // certainRunTime returns how long a run of the task certainly lasts after its start was sent.
--- a/internal/runner/fakeworker_test.go
+++ b/internal/runner/fakeworker_test.go
@@ -15,10 +15,10 @@
 	run   uint32
 	ends  time.Time
 	fails bool
-	// stopping is when a stop takes effect, or zero if there is none.
-	stopping time.Time
-	// until is the end of the lease on the worker's clock.
-	until time.Duration
+	// stopsAt is when a stop takes effect, or zero if there is none.
+	stopsAt time.Time
+	// leaseUntil is the end of the lease on the worker's clock.
+	leaseUntil time.Duration
 }
 
 // fakeWorker implements the worker protocol of the platform's description in virtual time.
@@ -92,13 +92,13 @@
 	for _, name := range names {
 		r := w.runs[name]
 		switch {
-		case !r.stopping.IsZero() && !r.stopping.After(now):
+		case !r.stopsAt.IsZero() && !r.stopsAt.After(now):
 			w.end(name, r, worker.EndingStopped)
-		case !r.ends.After(now) && w.clock(r.ends) <= r.until && r.fails:
+		case !r.ends.After(now) && w.clock(r.ends) <= r.leaseUntil && r.fails:
 			w.end(name, r, worker.EndingFailed)
-		case !r.ends.After(now) && w.clock(r.ends) <= r.until:
+		case !r.ends.After(now) && w.clock(r.ends) <= r.leaseUntil:
 			w.end(name, r, worker.EndingDone)
-		case w.clock(now) > r.until:
+		case w.clock(now) > r.leaseUntil:
 			w.end(name, r, worker.EndingLeaseExpired)
 		}
 	}
@@ -142,7 +142,7 @@
 func (w *fakeWorker) lease(now time.Time, until time.Duration) {
 	until = min(until, w.clock(now)+w.maxLease)
 	for _, r := range w.runs {
-		r.until = max(r.until, until)
+		r.leaseUntil = max(r.leaseUntil, until)
 	}
 }
 
@@ -173,7 +173,7 @@
 		}
 		w.overfilledBy = s.Name
 	}
-	w.runs[s.Name] = &fakeRun{run: s.Run, ends: now.Add(runTime), fails: fails, until: min(s.LeaseUntil, w.clock(now)+w.maxLease)}
+	w.runs[s.Name] = &fakeRun{run: s.Run, ends: now.Add(runTime), fails: fails, leaseUntil: min(s.LeaseUntil, w.clock(now)+w.maxLease)}
 	w.begun[s.Name]++
 	return worker.Accepted{Reply: w.reply(now)}
 }
@@ -190,8 +190,8 @@
 		return worker.Fenced{Reply: w.reply(now)}
 	}
 	w.highest[s.Name] = max(w.highest[s.Name], s.Run)
-	if r, ok := w.runs[s.Name]; ok && r.run <= s.Run && r.stopping.IsZero() {
-		r.stopping = now.Add(w.stopTime)
+	if r, ok := w.runs[s.Name]; ok && r.run <= s.Run && r.stopsAt.IsZero() {
+		r.stopsAt = now.Add(w.stopTime)
 	}
 	return worker.Accepted{Reply: w.reply(now)}
 }
@@ -211,7 +211,7 @@
 	w.ends = slices.DeleteFunc(w.ends, func(e worker.End) bool { return e.Number <= h.AcknowledgedEnd })
 	listing := worker.Listing{Reply: w.reply(now), StartedMillis: w.started, Ended: slices.Clone(w.ends)}
 	for name, r := range w.runs {
-		if w.hidesStopping && !r.stopping.IsZero() {
+		if w.hidesStopping && !r.stopsAt.IsZero() {
 			continue
 		}
 		listing.Running = append(listing.Running, worker.Run{Name: name, Run: r.run})
--- a/internal/runner/health.go
+++ b/internal/runner/health.go
@@ -88,7 +88,7 @@
 	switch ending {
 	case worker.EndingDone:
 		h.failures -= h.failures * healthWeight
-		if t.showsRunTime() {
+		if t.hasComparableRunTime() {
 			h.stretch += (t.stretch(listed)/timeFactor - 1 - h.stretch) * healthWeight
 		}
 	case worker.EndingFailed:
@@ -126,14 +126,14 @@
 	return t.stretch(t.listedAt) * percentDone / float64(min(max(t.progress, 1), percentDone))
 }
 
-// showsRunTime reports whether the run time of a completed task can be compared with the expected one: the latter is
-// known, and the run did not resume from a checkpoint.
-func (t *task) showsRunTime() bool {
+// hasComparableRunTime reports whether the run time of a completed task can be compared with the expected one: the
+// latter is known, and the run did not resume from a checkpoint.
+func (t *task) hasComparableRunTime() bool {
 	return t.Expected > 0 && t.Checkpoint == "" && t.acceptedAt > 0
 }
 
-// showsSpeed reports whether the progress of a task can be used.
-func (t *task) showsSpeed() bool {
+// hasComparableProgress reports whether the progress of a running task can be compared with the expected one.
+func (t *task) hasComparableProgress() bool {
 	return t.state == stateRunning && t.Expected > 0 && t.acceptedAt > 0 && t.listedAt-t.acceptedAt >= minElapsed
 }
 
@@ -143,7 +143,7 @@
 	sums := make(map[string]float64)
 	counts := make(map[string]float64)
 	for _, t := range active {
-		if !t.showsSpeed() {
+		if !t.hasComparableProgress() {
 			continue
 		}
 		sums[t.job()] += t.projectedStretch() / timeFactor
--- a/internal/runner/incarnation.go
+++ b/internal/runner/incarnation.go
@@ -44,7 +44,7 @@
 	// askedAt is when the first renewal after the latest answered one, other than a long poll, was sent, or zero if
 	// there was none. If it is zero, the lack of an answer shows nothing.
 	askedAt time.Time
-	// closing records how connections to the worker have ended since then.
+	// closing records how connections to the worker have ended since its latest answer.
 	closing connectionLoss
 	// roundTrip is the duration of the latest renewal that was refused or answered at once, or zero before the first
 	// one.
@@ -242,8 +242,8 @@
 	return e != endLeft && !record.Draining
 }
 
-// mayKeepID reports whether a later process with the same ID may have answered calls meant for the one that ended.
-func (e incarnationEnd) mayKeepID() bool {
+// mayReuseID reports whether a later process with the same ID may have answered calls meant for the one that ended.
+func (e incarnationEnd) mayReuseID() bool {
 	return e == endRestarted || e == endNotListening
 }
 
--- a/internal/runner/judge.go
+++ b/internal/runner/judge.go
@@ -16,8 +16,8 @@
 // Inputs: the outcomes of the runs and starts of all entries, the failure rates of their kinds elsewhere as reported by
 // entries, and runs that take far longer than expected.
 // Rule: each run is counted once, when it ends or becomes overdue. Runs that are active when the worker is ejected
-// continue, except overdue ones, which are stopped and run elsewhere, unless their kind is often overdue on all
-// workers.
+// continue, except overdue ones, which are stopped and run elsewhere, unless runs of their kind often fail on other
+// workers as well.
 // Reason: on a worker on which runs hang, no run ends, so ends alone would not show it.
 
 // observe passes the outcome of a run or a start to the detector.
--- a/internal/runner/listing.go
+++ b/internal/runner/listing.go
@@ -62,7 +62,7 @@
 	r.health.recordEnd(t, end.Ending, listing.Clock, r.speed.timeFactor())
 	r.observeEnd(now, t, end.Ending)
 	if end.Ending == worker.EndingDone {
-		r.noteSpeed(t, listing.Clock)
+		r.updateSpeed(t, listing.Clock)
 	}
 	t.Checkpoint = end.Checkpoint
 	r.finishRun(t, end.Ending)
--- a/internal/runner/load_test.go
+++ b/internal/runner/load_test.go
@@ -67,7 +67,7 @@
 	r := newServingRunner(now, 1)
 	r.health = health{stretch: 8, failures: 0.9, decayedAt: now}
 	r.markLoadDue()
-	var told Load
+	var received Load
 	for range 250 {
 		now = now.Add(20 * time.Millisecond)
 		effects := append(r.Handle(now, PongReceived{Session: 1, Sent: now}), r.Handle(now, Ticked{})...)
@@ -76,7 +76,7 @@
 			for _, effect := range effects {
 				switch e := effect.(type) {
 				case SendLoad:
-					told = e.Load
+					received = e.Load
 				case CallRenew:
 					listing := worker.Listing{Reply: worker.Reply{Clock: time.Hour, Received: now}}
 					next = append(next, r.Handle(now, RenewAnswered{Incarnation: e.Incarnation, Sent: now, Fence: e.Renew.Fence, Result: listing})...)
@@ -85,7 +85,7 @@
 			effects = next
 		}
 	}
-	if told.Slowness > 1+2*minHealthChange || told.FailureRate > 0.25 {
-		t.Errorf("after 5 s the entry last received a slowness of %.1f and a failure rate of %.2f; the averages are %.1f and %.2f", told.Slowness, told.FailureRate, r.health.slowness(), r.health.failureRate())
+	if received.Slowness > 1+2*minHealthChange || received.FailureRate > 0.25 {
+		t.Errorf("after 5 s the entry last received a slowness of %.1f and a failure rate of %.2f; the averages are %.1f and %.2f", received.Slowness, received.FailureRate, r.health.slowness(), r.health.failureRate())
 	}
 }
--- a/internal/runner/orphan.go
+++ b/internal/runner/orphan.go
@@ -34,7 +34,7 @@
 func (r *Runner) resolveOrphans(sent time.Time, listed map[string]worker.Run) {
 	for name, orphan := range r.worker.orphans {
 		if _, isListed := listed[name]; !isListed && orphan.isOver(sent, r.stopBound()) {
-			r.forgetOrphan(name)
+			r.removeOrphan(name)
 		}
 	}
 }
@@ -42,12 +42,12 @@
 // endOrphan applies the end of a run that this process did not start.
 func (r *Runner) endOrphan(now time.Time, end worker.End) {
 	if orphan, ok := r.worker.orphans[end.Name]; ok && orphan.run <= end.Run {
-		r.forgetOrphan(end.Name)
+		r.removeOrphan(end.Name)
 	}
 	r.retainOrphanEnd(now, end)
 }
 
-func (r *Runner) forgetOrphan(name string) {
+func (r *Runner) removeOrphan(name string) {
 	delete(r.worker.orphans, name)
 	r.markLoadDue()
 }
--- a/internal/runner/speed.go
+++ b/internal/runner/speed.go
@@ -52,10 +52,10 @@
 	return s
 }
 
-// noteSpeed updates the speed with a successful run, and sends the load if the factor differs enough from the one last
+// updateSpeed updates the speed with a successful run, and sends the load if the factor differs enough from the one last
 // sent.
-func (r *Runner) noteSpeed(t *task, listed time.Duration) {
-	if !t.showsRunTime() || t.stretch(listed) <= 0 || r.health.slowness() > maxSteadySlowness {
+func (r *Runner) updateSpeed(t *task, listed time.Duration) {
+	if !t.hasComparableRunTime() || t.stretch(listed) <= 0 || r.health.slowness() > maxSteadySlowness {
 		return
 	}
 	r.speed = r.speed.observe(t.stretch(listed))
