--- a/internal/runner/probe.go
+++ b/internal/runner/probe.go
@@ -12,28 +12,30 @@
 
 // Probes of an ejected worker
 //
-// Inputs: how many probes are due (package ejection), the sessions, and which of them have sent starts or left probes unused lately.
-// Rule: a probe is offered to one entry at a time, those first that have sent starts lately; one that leaves it unused has its next turn after
-// the others, and ProbeOfferTime after the offer at the earliest. The first start that uses it is the probe.
-// Reason: entries have the tasks, and know which of them may fail. Without the pause an entry that gives probes back at once would be
-// offered one after the other.
+// Inputs: how many probes are due (package ejection), the sessions, and which of them have recently sent starts or left
+// probes unused.
+// Rule: a probe is offered to one entry at a time, first to those that have sent starts most recently. An entry that
+// left a probe unused comes after the others, and gets its next one no sooner than ProbeOfferTime after the previous
+// offer. The first start that uses the offer is the probe.
+// Reason: entries have the tasks and know which of them may fail. Without the pause, an entry that returns probes at
+// once would be offered one after another.
 
 const (
-	// ProbeOfferTime is for how long an entry may use a probe: a busy entry has a job for it in that time.
+	// ProbeOfferTime is how long an entry may use a probe. A busy entry has a job for it within that time.
 	ProbeOfferTime = 100 * time.Millisecond
 	// probeMargin is how much longer an agent waits for the answer: two round trips over a busy link.
 	probeMargin = 50 * time.Millisecond
-	// unusedProbeTime is how long an entry that left a probe unused has its turn after those that did not.
-	unusedProbeTime = time.Second
+	// unusedProbePenalty is how long an entry that left a probe unused comes after those that did not.
+	unusedProbePenalty = time.Second
 )
 
-// isProbeOf reports whether an offer is a probe that was offered to a session.
+// isProbeOf reports whether an offer is a probe offered to the given session.
 func (r *Runner) isProbeOf(id SessionID, offer OfferID) bool {
 	o, ok := r.offers[offer]
 	return ok && o.isProbe && o.session == id
 }
 
-// useProbe makes a task a probe if it was sent for one. Another task cannot use it any more.
+// useProbe makes a task a probe if it uses the offer of one. No other task can use the offer after that.
 func (r *Runner) useProbe(t *task) {
 	if r.isProbeOf(t.session, t.Offer) {
 		t.isProbe = r.isEjected()
@@ -41,8 +43,8 @@
 	}
 }
 
-// endProbes takes back the probes that no task has used, as one of them has failed.
-func (r *Runner) endProbes() {
+// withdrawProbes ends the offers of unused probes after a probe has failed.
+func (r *Runner) withdrawProbes() {
 	for id, o := range r.offers {
 		if o.isProbe {
 			r.endOffer(id)
@@ -50,7 +52,8 @@
 	}
 }
 
-// countProbes returns how many probes are offered, wait for their start or have run for less than ejection.ProbeTime.
+// countProbes returns the number of probes that are offered, waiting to start, or have run for less than
+// ejection.ProbeTime.
 func (r *Runner) countProbes(now time.Time) int {
 	count := 0
 	for _, o := range r.offers {
@@ -60,31 +63,31 @@
 	}
 	for _, t := range r.tasks {
 		isNew := t.state == stateQueued || now.Sub(t.began) < ejection.ProbeTime
-		if t.isOpenProbe() && isNew {
+		if t.isPendingProbe() && isNew {
 			count++
 		}
 	}
 	return count
 }
 
-// isOpenProbe reports whether a task is a probe that has not shown how the worker is.
-func (t *task) isOpenProbe() bool { return t.isProbe && !t.isJudged }
+// isPendingProbe reports whether a task is a probe without a result.
+func (t *task) isPendingProbe() bool { return t.isProbe && !t.isJudged }
 
-// forgetProbeRuns makes probes that have not ended runs like others, as the worker is in service again.
-func (r *Runner) forgetProbeRuns() {
+// clearProbes turns the remaining probes into ordinary tasks when the worker is in service again.
+func (r *Runner) clearProbes() {
 	for _, t := range r.tasks {
 		t.isProbe = false
 	}
 }
 
-// hasProbeRun reports whether a probe is queued or runs and has not shown how the worker is. The worker is asked often then, as its progress
-// is to show soon whether it hangs.
+// hasProbeRun reports whether a probe without a result is queued or active. The worker is then renewed often, so that
+// the progress of the run shows soon whether it hangs.
 func (r *Runner) hasProbeRun() bool {
 	if !r.isEjected() {
 		return false
 	}
 	for _, t := range r.tasks {
-		if t.isOpenProbe() {
+		if t.isPendingProbe() {
 			return true
 		}
 	}
@@ -105,18 +108,18 @@
 	}
 }
 
-// nextProbeSession returns the session whose turn it is to get a probe, or nil if none may.
+// nextProbeSession returns the session that gets the next probe, or nil if none may.
 func (r *Runner) nextProbeSession(now time.Time) *session {
 	var best *session
 	for _, s := range r.sessionsInOrder() {
-		if r.mayOffer(now, s.id) && !r.hasProbe(s.id) && !s.hasJustLeftProbe(now) && (best == nil || s.compareProbe(best, now) < 0) {
+		if r.mayOffer(now, s.id) && !r.hasProbe(s.id) && !s.justLeftProbeUnused(now) && (best == nil || s.compareProbeOrder(best, now) < 0) {
 			best = s
 		}
 	}
 	return best
 }
 
-// hasProbe reports whether a session has a probe that it has not answered.
+// hasProbe reports whether a session has an unanswered probe offer.
 func (r *Runner) hasProbe(id SessionID) bool {
 	for _, o := range r.offers {
 		if o.isProbe && o.session == id {
@@ -126,31 +129,32 @@
 	return false
 }
 
-// compareProbe returns the order in which two sessions get a probe: those first that have not left one unused lately, of these the one with the
-// latest start, of the others the one that left it first.
-func (s *session) compareProbe(other *session, now time.Time) int {
-	if order := trueFirst(!s.hasLeftProbe(now), !other.hasLeftProbe(now)); order != 0 {
+// compareProbeOrder compares two sessions by the order in which they get probes: first those that have not recently
+// left one unused, the latest start first, then the others, the one that left its probe first.
+func (s *session) compareProbeOrder(other *session, now time.Time) int {
+	if order := trueFirst(!s.leftProbeUnused(now), !other.leftProbeUnused(now)); order != 0 {
 		return order
 	}
-	if s.hasLeftProbe(now) {
+	if s.leftProbeUnused(now) {
 		return s.probeUnusedAt.Compare(other.probeUnusedAt)
 	}
 	return cmp.Or(other.lastStart.Compare(s.lastStart), cmp.Compare(s.id, other.id))
 }
 
-// hasLeftProbe reports whether the entry has left a probe unused lately.
-func (s *session) hasLeftProbe(now time.Time) bool {
-	return !s.probeUnusedAt.IsZero() && now.Sub(s.probeUnusedAt) < unusedProbeTime
+// leftProbeUnused reports whether the entry has recently left a probe unused.
+func (s *session) leftProbeUnused(now time.Time) bool {
+	return !s.probeUnusedAt.IsZero() && now.Sub(s.probeUnusedAt) < unusedProbePenalty
 }
 
-// hasJustLeftProbe reports whether the entry has left its latest probe unused and could still keep it: it has no use for any at present, or is
-// of an older version.
-func (s *session) hasJustLeftProbe(now time.Time) bool {
+// justLeftProbeUnused reports whether the entry has returned its latest probe unused before the time to use it was
+// over: it has no task for a probe at present, or runs an older version.
+func (s *session) justLeftProbeUnused(now time.Time) bool {
 	isLatest := !s.probeUnusedAt.Before(s.probeOfferedAt)
-	return s.hasLeftProbe(now) && isLatest && now.Sub(s.probeOfferedAt) < ProbeOfferTime
+	return s.leftProbeUnused(now) && isLatest && now.Sub(s.probeOfferedAt) < ProbeOfferTime
 }
 
-// offerProbe offers a probe to a session. It keeps no resources, as nothing else is started on an ejected worker.
+// offerProbe offers a probe to a session. It reserves no resources, because nothing else is started on an ejected
+// worker.
 func (r *Runner) offerProbe(now time.Time, s *session) {
 	s.probeOfferedAt = now
 	r.lastOffer++
@@ -158,14 +162,14 @@
 	r.emit(SendOffer{Session: s.id, Offer: Offer{ID: r.lastOffer, Resources: r.free(), IsProbe: true}})
 }
 
-// noteUnusedProbe notes that a session has left a probe unused.
+// noteUnusedProbe records that a session has left a probe unused.
 func (r *Runner) noteUnusedProbe(now time.Time, o *offer) {
 	if s, ok := r.sessions[o.session]; ok && o.isProbe {
 		s.probeUnusedAt = now
 	}
 }
 
-// expireProbes ends the probes that were not answered in time.
+// expireProbes ends the probe offers that were not answered in time.
 func (r *Runner) expireProbes(now time.Time) {
 	for id, o := range r.offers {
 		if o.isProbe && now.After(o.expires) {
