--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestNowFollowsTheKernelsClockThatCountsSuspensions(t *testing.T) {
+func TestNowFollowsBoottimeClock(t *testing.T) {
 	read := func() time.Duration {
 		var now unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -24,40 +24,41 @@
 	}
 	before, now, after := read(), Now(), read()
 	if at := started + now.Sub(origin); at < before || at > after {
-		t.Fatalf("the clock reads %s, the kernel %s before and %s after", at, before, after)
+		t.Fatalf("got clock reading %s, want a value between the kernel's readings %s and %s", at, before, after)
 	}
 	if strings.Contains(now.String(), "m=") {
-		t.Fatalf("%s has a reading of the steady clock, by which times would be compared", now)
+		t.Fatalf("%s has a monotonic reading, which comparisons would use instead of the boottime clock", now)
 	}
 }
 
 func TestSinceAndUntil(t *testing.T) {
 	at := Now().Add(-time.Minute)
 	if since, until := Since(at), Until(at); since < time.Minute || until > -time.Minute || since > 2*time.Minute {
-		t.Fatalf("since %s, until %s", since, until)
+		t.Fatalf("got since %s and until %s for a time one minute ago", since, until)
 	}
 }
 
-// measuring are the files whose use of package time's clock ends no right, with what they use it for.
-var measuring = map[string]string{
-	"internal/agent/agent.go":        "the time of day as the process's incarnation and fencing token",
-	"internal/agent/metrics.go":      "the time of runs, for metrics",
-	"internal/agent/registration.go": "the time of a registration, for the log",
-	"internal/entry/dependencies.go": "the time of an outage, for the log",
-	"internal/entry/entry.go":        "the time of day as the process's incarnation",
-	"internal/stream/connection.go":  "the deadline of a write, which the network counts by the steady clock",
-	"platform/http.go":               "the pace at which idle connections are closed",
+// allowedFiles lists the files that may read package time's clock, with what they use it for. None of these uses decides when something
+// expires.
+var allowedFiles = map[string]string{
+	"internal/agent/agent.go":        "wall-clock time as the process's incarnation and fencing token",
+	"internal/agent/metrics.go":      "duration of runs, for metrics",
+	"internal/agent/registration.go": "duration of a registration, for the log",
+	"internal/entry/dependencies.go": "duration of an outage, for the log",
+	"internal/entry/entry.go":        "wall-clock time as the process's incarnation",
+	"internal/stream/connection.go":  "write deadline, which package net measures on the monotonic clock",
+	"platform/http.go":               "interval at which idle connections are closed",
 }
 
-// TestRightsEndByThisClock looks for readings of package time's clock on the path that runs on call: a right that ends by it
-// outlasts a suspension of the VM.
+// TestRightsEndByThisClock searches the packages that serve jobs for uses of package time's clock. A lease or deadline measured by it
+// would stay valid for too long after a suspension of the VM.
 func TestRightsEndByThisClock(t *testing.T) {
 	reading := regexp.MustCompile(`\btime\.(Now|Since|Until)\b`)
 	used := make(map[string]bool)
 	for _, dir := range []string{"agent", "cluster", "dispatch", "durable", "ejection", "entry", "forecast", "handover", "learned", "runner", "session", "shares", "stream", "subset", "worker", "../platform"} {
 		files, err := filepath.Glob(filepath.Join("..", dir, "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatalf("no files in %s: %v", dir, err)
+			t.Fatalf("no Go files found in %s: %v", dir, err)
 		}
 		for _, file := range files {
 			source, err := os.ReadFile(file)
@@ -69,14 +70,14 @@
 				continue
 			}
 			used[name] = true
-			if measuring[name] == "" {
-				t.Errorf("%s reads package time's clock, which stands still while a VM is suspended", name)
+			if allowedFiles[name] == "" {
+				t.Errorf("%s reads package time's clock, which stops while the VM is suspended", name)
 			}
 		}
 	}
-	for name := range measuring {
+	for name := range allowedFiles {
 		if !used[name] {
-			t.Errorf("%s does not read package time's clock any more", name)
+			t.Errorf("%s no longer reads package time's clock; remove it from allowedFiles", name)
 		}
 	}
 }
