--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,136 +1,137 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package timing holds the times that keep two runs of one task apart when processes stop answering, and those that
-// decide when another process is taken for dead. They only make sense together: change one and the tests of this
-// package say which relation breaks.
+// Package timing defines the time-outs, intervals and leases that prevent two runs of one task from overlapping when processes stop
+// responding, and those after which a process is considered unreachable. They depend on each other: the tests of this package check the
+// relations and name the one that a change breaks.
 //
-// Each wait that ends in a second run of a task must be longer than everything that can keep the first run alive:
+// Every delay before a second run of a task must be longer than anything that can keep the first run alive:
 //
-//	a session is cut    agent stops the entry's runs after SessionLease, the worker within StopTime
-//	the agent dies too  the worker's lease runs out WorkerLease after the last renewal
+//	session lost        the agent stops the entry's runs after SessionLease, the worker ends them within StopTime
+//	agent dies too      the worker's lease expires WorkerLease after the last renewal
 //	entry reruns        RerunDelay after it lost the session: the sum of the three, of which StopTime covers the
 //	                    drift of the worker's clock (2 % of WorkerLease) if the agent died at the last moment
-//	caller retries      CallerRetryAfter, with nothing left of the job that it gave up
+//	caller retries      after CallerRetryAfter, when nothing of the abandoned job is running any more
 //
-// Durable jobs must not lose the end of a run that was done, so they wait longer, for the agent or the worker to come
-// back and report it: DurableRerunDelay and DurableLossDelay.
+// Durable jobs must not lose the result of a completed run, so they wait longer for the agent or the worker to come back and report it:
+// DurableRerunDelay and DurableLossDelay.
 package timing
 
 import "time"
 
-// Given by the users' platform.
+// Limits given by the users' platform.
 const (
-	// CallerRetryAfter is when a caller submits its job again after silence or a broken connection. Source: resend_ms,
-	// 1,300 on every site.
+	// CallerRetryAfter is how long a caller waits before it resubmits a job that got no answer or whose connection broke. Source:
+	// resend_ms, 1,300 on every site.
 	CallerRetryAfter = 1300 * time.Millisecond
-	// StopTime is the longest time between the answer to a stop and the end of the run. Source: stop_ms, 50 on every
-	// site. Agents use their setting stop_time, which has the same source; entries have no such setting.
+	// StopTime is the longest time between a worker's answer to a stop request and the end of the run. Source: stop_ms, 50 on every site.
+	// Agents use their setting stop_time, which has the same source; entries have no such setting.
 	StopTime = 50 * time.Millisecond
 )
 
-// The session between an entry and an agent.
+// Sessions between entries and agents.
 const (
-	// PingInterval is the time between two pings of an agent on one session: two lost pings are not yet SuspectAfter.
+	// PingInterval is the interval at which an agent sends pings on a session. Two intervals must be shorter than SuspectAfter.
 	PingInterval = 120 * time.Millisecond
-	// IdlePingInterval is the time between two pings on a session over which no task is running: one late ping is not yet SuspectAfter, and
-	// the lease of a session never gets shorter than three of them. It saves about a third of the pings: most sessions have no task at most
-	// times.
+	// IdlePingInterval is the ping interval of a session without running tasks. One late ping must not yet reach SuspectAfter, and the
+	// session's lease must cover at least three intervals. As most sessions have no task most of the time, the longer interval saves about
+	// a third of all pings.
 	IdlePingInterval = 200 * time.Millisecond
-	// SessionLease is how long an entry's runs may go on after the agent sent the last ping that the entry echoed. It counts on the agent's
-	// steady clock from when the ping was sent, so a late echo does not extend it: five pings, and RerunDelay must stay below
-	// CallerRetryAfter.
+	// SessionLease is how long an entry's runs may continue after the agent sent the last ping that the entry echoed. It is measured on the
+	// agent's clock from when the ping was sent, so that a late echo does not extend it. It covers five pings, and is bounded by RerunDelay,
+	// which must stay below CallerRetryAfter.
 	SessionLease = 600 * time.Millisecond
-	// SuspectAfter is the silence of an agent after which an entry sends it no new tasks: more than two pings.
+	// SuspectAfter is how long an agent may be silent before an entry stops sending it new tasks: more than two ping intervals.
 	SuspectAfter = 300 * time.Millisecond
-	// CloseAfter is the silence of an agent after which an entry closes the session: before SessionLease, so that the agent has a new
-	// session to accept by the time it stops the old runs.
+	// CloseAfter is how long an agent may be silent before an entry closes the session. It is shorter than SessionLease, so that the
+	// agent can have accepted a new session by the time it stops the old runs.
 	CloseAfter = 560 * time.Millisecond
 )
 
-// The lease between an agent and its worker.
+// Leases between an agent and its worker.
 const (
-	// WorkerLease is the longest lease that an agent asks its worker for: the runs of an agent that died end after it.
+	// WorkerLease is the longest lease that an agent requests from its worker. If the agent dies, its runs end when the lease expires.
 	WorkerLease = 550 * time.Millisecond
-	// RenewInterval is the time between two renewals while runs are on the worker: nine renewals in a lease.
+	// RenewInterval is the interval of lease renewals while tasks run on the worker: nine renewals per lease.
 	RenewInterval = 60 * time.Millisecond
-	// WorkerUnresponsiveAfter is how long a worker may leave renewals unanswered before the agent takes no new tasks and stops extending
+	// WorkerUnresponsiveAfter is how long a worker may leave renewals unanswered before the agent accepts no new tasks and stops extending
 	// the leases: five renewals.
 	WorkerUnresponsiveAfter = 300 * time.Millisecond
-	// ClockDriftDivisor bounds the drift of a worker's clock: one part in 50, which is the 2 % of the users' page.
+	// ClockDriftDivisor bounds the drift of a worker's clock to one part in 50, the 2 % that the users' protocol page states.
 	ClockDriftDivisor = 50
 )
 
-// RerunDelay is how long after an entry lost its session with an agent the agent's runs have ended: a living agent
-// stops them when the session's lease is over, and those of a dead agent end with the worker's lease.
+// RerunDelay is the delay after the loss of a session until all of its runs have ended and tasks can be started again: a live agent stops
+// them when the session's lease expires, and those of a dead agent end with the worker's lease.
 const RerunDelay = SessionLease + WorkerLease + StopTime
 
 // Durable jobs.
 const (
-	// DurableRerunDelay is how long a task of a durable job waits for its agent after the session was lost, before it runs again. A longer
-	// cut of an agent that holds an unrecorded end lets the task run twice.
+	// DurableRerunDelay is how long a task of a durable job waits for its agent to reconnect after the session was lost, before it is run
+	// again. If an agent that holds an unrecorded end is disconnected for longer, the task runs twice.
 	DurableRerunDelay = 8 * time.Second
-	// DurableLossDelay is how long beyond its lease an agent keeps a durable task of an unresponsive worker before it reports the run as
-	// lost.
+	// DurableLossDelay is how long after the lease expired an agent keeps a durable task of an unresponsive worker before it reports the
+	// run as lost.
 	DurableLossDelay = 7 * time.Second
-	// OrphanEndTimeout is how long an agent keeps the ends of runs that its earlier process started, for an owner to record: longer than a
-	// failover takes (ClaimLease + RecoveryDelay).
+	// OrphanEndTimeout is how long an agent keeps the ends of runs that were started by its previous process, until an owner records them.
+	// It is longer than a failover takes (ClaimLease + RecoveryDelay).
 	OrphanEndTimeout = 12 * time.Second
-	// ClaimLease is the time of the store's lease that an entry's claims of shards live by: one renewal a second for each entry fits the
-	// store's rates.
+	// ClaimLease is the TTL of the store lease to which an entry's shard claims are attached. Each entry renews it once a
+	// second, which is within the store's rate limits.
 	ClaimLease = 6 * time.Second
-	// RecoveryDelay is how long after the earlier owner of a shard stopped the new one starts runs: agents stop its runs within
-	// SessionLease and report unrecorded ends within EndResendInterval.
+	// RecoveryDelay is how long after the previous owner of a shard stopped the new owner waits before it starts runs. Agents stop the
+	// previous owner's runs within SessionLease and report unrecorded ends within EndResendInterval.
 	RecoveryDelay = 2500 * time.Millisecond
-	// EndResendInterval is the time between two reports of an end that no owner has recorded.
+	// EndResendInterval is the interval at which an agent resends an end that no owner has recorded.
 	EndResendInterval = 300 * time.Millisecond
 )
 
-// Changes of the platform's store.
+// Watches of the platform's store.
 const (
-	// StoreWatchTimeout is how long a watch of the store waits for a change before it is answered empty.
+	// StoreWatchTimeout is how long a watch waits for a change before the store returns an empty answer.
 	StoreWatchTimeout = 1500 * time.Millisecond
-	// StoreCallTimeout bounds a call to the store, beyond the time that a watch waits. The store answers within 4 ms.
+	// StoreCallTimeout is the time-out of a call to the store; for a watch it is added to StoreWatchTimeout. The store answers within 4 ms.
 	StoreCallTimeout = 700 * time.Millisecond
-	// StoreRetryDelay is the pause after a call that the store did not answer: 83 entries and agents then make 415 calls a second, of the
-	// 7,200 that their store takes, and EvacuationTime allows some attempts.
+	// StoreRetryDelay is the delay before the retry of a call that the store did not answer. While the store is down, 83 entries and agents
+	// make 415 calls a second, of the 7,200 that their store can take. The delay also leaves time for several attempts within
+	// EvacuationTime.
 	StoreRetryDelay = 200 * time.Millisecond
-	// MinStoreWatchPause is the least time between the answer to a watch that brought members and the next watch, so that changes in quick
-	// succession come together. Each change is told to all entries, so the pause grows by StoreWatchShare with each entry, up to
-	// MaxStoreWatchPause: then all of them together call the store 200 times a second, however many members change, as long as there are no more than 160 entries.
+	// MinStoreWatchPause is the minimum delay between the answer to a watch that returned member changes and the next watch, so that changes
+	// in quick succession are batched. As each change is sent to every entry, the delay grows by StoreWatchShare per entry, up to
+	// MaxStoreWatchPause. With up to 160 entries all of them together then make 200 watch calls a second, however many members change.
 	MinStoreWatchPause = 200 * time.Millisecond
 	MaxStoreWatchPause = 800 * time.Millisecond
 	StoreWatchShare    = 5 * time.Millisecond
-	// StoreUpdateLifetime is how long after the last answer of the store an entry relies on what it said. Longer than
-	// a watch may take.
+	// StoreUpdateLifetime is how long after the store's last answer an entry treats the data as current. It is longer than a watch may
+	// take.
 	StoreUpdateLifetime = 2500 * time.Millisecond
 )
 
-// News between entries, and from entries to agents.
+// Propagation of updates between entries, and from entries to agents.
 const (
-	// ExchangeInterval is the mean time between two exchanges of an entry with a random other one; a single one takes up to half as much
-	// longer. News reaches all entries in a few exchanges without the store: about four for 13 entries, 2 s; a configuration may take 3 s
-	// with the store and 6 s more without it.
+	// ExchangeInterval is the mean interval at which an entry exchanges state with a random peer; a single interval is up to half as long
+	// again. Without the store an update reaches all entries in a few exchanges: about four for 13 entries, or 2 s. A new configuration may
+	// take 3 s to propagate with the store and 6 s more without it.
 	ExchangeInterval = 450 * time.Millisecond
-	// PeerCallTimeout is the longest time of a call to another entry: 100 round trips between availability zones.
+	// PeerCallTimeout is the time-out of a call to another entry: 100 round trips between availability zones.
 	PeerCallTimeout = 400 * time.Millisecond
-	// EvacuationTime is how long after the evacuation of an availability zone was acknowledged nothing more may start there.
-	// Source: evac_ms, 5,000 on the site that has it, for VMs in touch with a store that is in order.
+	// EvacuationTime is the time after the acknowledgement of a zone's evacuation from which no task may start there. Source: evac_ms, 5,000
+	// on the site that has it, for VMs that can reach a working store.
 	EvacuationTime = 5 * time.Second
-	// EvacuationGrace is how much longer it may take while the store turns VMs away or they are cut from it, and it is neither
-	// down nor slow. Source: max_stretch_ms, 6,000 there.
+	// EvacuationGrace is the additional time allowed while the store rejects calls of VMs or they are disconnected from it, and the store is
+	// neither down nor slow. Source: max_stretch_ms, 6,000 on the same site.
 	EvacuationGrace = 6 * time.Second
 )
 
-// StorePropagationDelay is the longest time from a change of the store until an entry has it, if the store is in order but the entry's
-// connection fell silent just before: the watch runs into its time-out, and the next one is made after the longest pause.
+// StorePropagationDelay is the longest time from a change in the store until an entry receives it, if the store works but the entry's
+// connection stopped responding just before: the watch times out, and the next one is made after the longest pause.
 const StorePropagationDelay = StoreWatchTimeout + StoreCallTimeout + StoreRetryDelay + MaxStoreWatchPause + StoreCallTimeout
 
-// StoreWatchPause returns the pause after a watch that brought members, for a number of entries.
+// StoreWatchPause returns the delay after a watch that returned member changes, for the given number of entries. See MinStoreWatchPause.
 func StoreWatchPause(entries int) time.Duration {
 	return min(max(time.Duration(entries)*StoreWatchShare, MinStoreWatchPause), MaxStoreWatchPause)
 }
 
-// PeerPropagationDelay is the longest time until an entry without the store has heard of what all others know, if the first entry that
-// it asks does not answer: two exchanges, the first of which times out.
+// PeerPropagationDelay is the longest time until an entry that cannot reach the store learns from a peer what all others know, if the first
+// peer does not answer: two exchanges, the first of which times out.
 const PeerPropagationDelay = 2*(ExchangeInterval+ExchangeInterval/2) + 2*PeerCallTimeout
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -13,43 +13,43 @@
 		1: MinStoreWatchPause, 12: MinStoreWatchPause, 55: 275 * time.Millisecond, 184: MaxStoreWatchPause, 800: MaxStoreWatchPause,
 	} {
 		if got := StoreWatchPause(entries); got != want {
-			t.Errorf("%d entries: %s, want %s", entries, got, want)
+			t.Errorf("%d entries: got a pause of %s, want %s", entries, got, want)
 		}
 	}
 }
 
-// withDrift returns how long a lease lasts at most if the worker's clock is slow.
+// withDrift returns the longest real duration of a lease on a worker whose clock runs slow by the allowed drift.
 func withDrift(lease time.Duration) time.Duration { return lease + lease/ClockDriftDivisor }
 
 func TestTheTimesKeepTwoRunsOfATaskApart(t *testing.T) {
 	relations := []struct {
-		name          string
-		shorter       time.Duration
-		longer        time.Duration
-		mayBeTheSame  bool
-		whatIfItFails string
+		name        string
+		shorter     time.Duration
+		longer      time.Duration
+		allowEqual  bool
+		consequence string
 	}{
-		{"two lost pings", 2 * PingInterval, SuspectAfter, false, "an agent is suspected for a lost ping"},
-		{"a late idle ping", IdlePingInterval, SuspectAfter, false, "an idle agent is suspected for a late ping"},
-		{"idle pings in a lease", 3 * IdlePingInterval, SessionLease, true, "one lost ping ends an idle session"},
+		{"two ping intervals before suspect", 2 * PingInterval, SuspectAfter, false, "an agent is suspected after one lost ping"},
+		{"a late idle ping is tolerated", IdlePingInterval, SuspectAfter, false, "an idle agent is suspected after one late ping"},
+		{"idle pings per session lease", 3 * IdlePingInterval, SessionLease, true, "one lost ping ends an idle session"},
 		{"suspect before close", SuspectAfter, CloseAfter, false, "a session is closed before its agent is avoided"},
-		{"close before the lease ends", CloseAfter, SessionLease, false, "the agent stops the runs of a session that the entry still uses"},
-		{"renewals in a lease", 3 * RenewInterval, WorkerLease, false, "one lost renewal ends the runs"},
-		{"living agent, then worker", SessionLease + StopTime, RerunDelay, true, "a task runs again while its agent stops it"},
-		{"dead agent", withDrift(WorkerLease), RerunDelay, false, "a task runs again under the lease of a dead agent"},
-		{"agent that dies at the end of its session", SessionLease + withDrift(WorkerLease), RerunDelay, false, "a task runs again under a lease that was renewed at the last moment"},
-		{"rerun before the caller's retry", RerunDelay, CallerRetryAfter, false, "a retried job starts while its first runs go on"},
-		{"lost at the agent before the entry reruns", withDrift(WorkerLease) + StopTime + DurableLossDelay, DurableRerunDelay, false, "the entry runs a task again that its agent still reports on"},
-		{"agents stop and report before a new owner starts", SessionLease + StopTime + 3*EndResendInterval, RecoveryDelay, false, "a new owner runs again what was done"},
-		{"orphaned ends outlive a failover", ClaimLease + RecoveryDelay, OrphanEndTimeout, false, "the end of a done run is dropped before its shard has an owner"},
-		{"an agent hears of an evacuation", StorePropagationDelay + CloseAfter, EvacuationTime, false, "tasks start in an evacuated zone"},
-		{"an agent hears of an evacuation from an entry without the store", StorePropagationDelay + PeerPropagationDelay + CloseAfter, EvacuationTime + EvacuationGrace, false, "tasks start in an evacuated zone"},
-		{"a watch after the longest pause is answered in time", MaxStoreWatchPause + StoreWatchTimeout, StoreUpdateLifetime, false, "a quiet store is taken for one that is cut off while members come"},
-		{"a watch is answered in time", StoreWatchTimeout + StoreCallTimeout, StoreUpdateLifetime, false, "a quiet store is taken for one that is cut off"},
+		{"close before the session lease expires", CloseAfter, SessionLease, false, "the agent stops the runs of a session that the entry still uses"},
+		{"renewals per worker lease", 3 * RenewInterval, WorkerLease, false, "one lost renewal ends the runs"},
+		{"live agent stops its runs", SessionLease + StopTime, RerunDelay, true, "a task runs again while its agent stops it"},
+		{"runs of a dead agent end", withDrift(WorkerLease), RerunDelay, false, "a task runs again under the lease of a dead agent"},
+		{"agent dies when its session lease expires", SessionLease + withDrift(WorkerLease), RerunDelay, false, "a task runs again under a lease that was renewed at the last moment"},
+		{"rerun before the caller's retry", RerunDelay, CallerRetryAfter, false, "a retried job starts while runs of the first attempt continue"},
+		{"the agent reports a lost run before the entry reruns", withDrift(WorkerLease) + StopTime + DurableLossDelay, DurableRerunDelay, false, "the entry reruns a task that its agent still tracks"},
+		{"agents stop and report before a new owner starts", SessionLease + StopTime + 3*EndResendInterval, RecoveryDelay, false, "a new owner reruns a completed task"},
+		{"orphaned ends outlive a failover", ClaimLease + RecoveryDelay, OrphanEndTimeout, false, "the end of a completed run is dropped before its shard has an owner"},
+		{"an evacuation reaches an agent", StorePropagationDelay + CloseAfter, EvacuationTime, false, "tasks start in an evacuated zone"},
+		{"an evacuation reaches an agent through an entry without the store", StorePropagationDelay + PeerPropagationDelay + CloseAfter, EvacuationTime + EvacuationGrace, false, "tasks start in an evacuated zone"},
+		{"a watch after the longest pause is answered in time", MaxStoreWatchPause + StoreWatchTimeout, StoreUpdateLifetime, false, "a store without changes is considered unreachable while members join"},
+		{"a watch is answered in time", StoreWatchTimeout + StoreCallTimeout, StoreUpdateLifetime, false, "a store without changes is considered unreachable"},
 	}
 	for _, r := range relations {
-		if r.shorter > r.longer || r.shorter == r.longer && !r.mayBeTheSame {
-			t.Errorf("%s: %s is not below %s: %s", r.name, r.shorter, r.longer, r.whatIfItFails)
+		if r.shorter > r.longer || r.shorter == r.longer && !r.allowEqual {
+			t.Errorf("%s: %s is not below %s: %s", r.name, r.shorter, r.longer, r.consequence)
 		}
 	}
 }
--- a/internal/worker/doc.go
+++ b/internal/worker/doc.go
@@ -3,9 +3,9 @@
 
 // Package worker holds the types that describe a worker, its runs, and the calls to it.
 //
-// It has no state and no I/O. The client that makes the calls is in platform/, which translates from the platform's
-// names; package runner decides which calls to make; entries use the records and resources for placement.
+// It has no state and does no I/O. The client that makes the calls is in platform/, which translates the platform's names; package runner
+// decides which calls to make; entries use the records and resources for placement.
 //
-// A worker that dies shows in the results: NotReached if nothing listens at its address, WrongIncarnation if it has
-// restarted, Unanswered if it does not answer in time.
+// The result of a call shows whether the worker died: NotReached if nothing listens at its address, WrongIncarnation if it has restarted,
+// Unanswered if it does not answer in time.
 package worker
--- a/internal/worker/result.go
+++ b/internal/worker/result.go
@@ -27,8 +27,8 @@
 }
 
 // Failure is an outcome that every call can have: Fenced, Invalid, Unhealthy, WrongIncarnation, NotReached or
-// Unanswered. The worker may have carried out a call that is Unanswered, and a renewal that is Invalid because its
-// listing could not be understood. After the others it has not.
+// Unanswered. The worker may have executed a call that is Unanswered, or a renewal that is Invalid because its listing could not be parsed.
+// With all other failures it has not executed the call.
 type Failure interface {
 	StartResult
 	StopResult
@@ -36,51 +36,51 @@
 	isFailure()
 }
 
-// Reply is the part that all answers of a worker have in common.
+// Reply holds the fields that all answers of a worker have in common.
 type Reply struct {
-	// Clock is the worker's clock when it answered, or zero if the answer has none.
+	// Clock is the worker's clock at the time of the answer, or zero if the answer does not contain it.
 	Clock time.Duration
 	// Received is when the answer arrived, on this process's clock.
 	Received time.Time
 }
 
-// Accepted means that the worker carries out the call.
+// Accepted means that the worker accepted the call.
 type Accepted struct{ Reply }
 
 // Fenced means that the worker has seen a higher fencing token.
 type Fenced struct{ Reply }
 
-// Outdated means that the worker has seen a run of the task with the same or a higher number end or stop.
+// Outdated means that a run of the task with the same or a higher number has already ended or was stopped on the worker.
 type Outdated struct{ Reply }
 
 // TooLate means that the lease had expired before the start arrived.
 type TooLate struct{ Reply }
 
-// InsufficientResources means that the task does not fit beside the runs on the worker.
+// InsufficientResources means that the worker does not have the free resources that the task needs.
 type InsufficientResources struct{ Reply }
 
-// Invalid means that the worker rejected the call as malformed, or that its answer cannot be understood.
+// Invalid means that the worker rejected the call as malformed, or that its answer could not be parsed.
 type Invalid struct {
 	Reply
 	Reason string
 }
 
-// Unhealthy means that the worker rejects all calls for now.
+// Unhealthy means that the worker currently rejects all calls.
 type Unhealthy struct{ Reply }
 
-// WrongIncarnation means that another incarnation of the worker answers at the address.
+// WrongIncarnation means that another incarnation of the worker answered at the address.
 type WrongIncarnation struct{ Reply }
 
 // NotReached means that nothing listens at the worker's address.
 type NotReached struct{ Reason string }
 
-// Unanswered means that no answer arrived in time. The worker may have carried out the call or may still do so.
+// Unanswered means that no answer arrived in time. The worker may have executed the call or may still do so.
 type Unanswered struct {
 	Reason string
-	// IsClosed is set if the connection was closed or reset.
+	// IsClosed is true if the connection was closed or reset.
 	IsClosed bool
-	// IsReset is set if it was reset. The connections of a process that ends are closed, unless it has not read all that came: a reset of one
-	// on which a call waited comes from the link.
+	// IsReset is true if the connection was reset. When a process ends, its connections are closed, and reset only if it left received data
+	// unread. A reset of a connection on which a call was waiting is therefore caused by the network.
 	IsReset bool
 }
 
