--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,13 +1,13 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package evacuation holds which availability zones the operators have evacuated: nothing new starts on the workers of
-// such a zone, and what runs there goes on to its end.
+// Package evacuation tracks which availability zones the operators have evacuated. No new tasks start on the workers of an evacuated zone;
+// running tasks continue to their end.
 //
-// The operators' records lie in the platform's store. Entries read and watch them, exchange what they know with each other,
-// and tell the agents in session. News may come twice, late, in any order and by several ways, so a State keeps the
-// store's revision of each change: Merge takes the newest one of each zone, whatever the order. A process of sailhead owns
-// nothing here, and if one dies its State is read or heard again.
+// The operators' records are in the platform's store. Entries read and watch them, exchange their state with each other and send it to the
+// agents with which they have sessions. Updates may arrive more than once, late, in any order and by several paths. A State therefore keeps
+// the store's revision of each change, and Merge, which is commutative, takes the newest change of each zone. No sailhead process owns this
+// state; a process that restarts gets it again from the store or from its peers.
 package evacuation
 
 import (
@@ -16,26 +16,26 @@
 	"slices"
 )
 
-// Revision numbers the changes of the platform's store. Zero is before the first one.
+// Revision is a revision number of the platform's store. Zero is before the first change.
 type Revision int64
 
 // Change is the latest known change of one availability zone.
 type Change struct {
 	Zone     string
 	Revision Revision
-	// IsEvacuated is false if the change has taken the evacuation back.
+	// IsEvacuated is false if the change cancelled the evacuation.
 	IsEvacuated bool
 }
 
-// State is what a process knows of the evacuated availability zones. It is immutable. The zero value knows nothing.
+// State is a process's view of the evacuated availability zones. It is immutable. The zero value is the empty view.
 type State struct {
-	// asOf is the revision of the store at the latest full reading: a zone without a change was not evacuated then.
+	// asOf is the store revision of the latest full read. A zone without an entry in changes was not evacuated at that revision.
 	asOf Revision
-	// changes holds the latest change of each zone: all evacuated zones, and those taken back after asOf.
+	// changes holds the latest change of each zone: all evacuated zones, and those whose evacuation was cancelled after asOf.
 	changes map[string]Change
 }
 
-// New returns a State of a full reading of the store at a revision, or of changes alone if asOf is zero.
+// New returns the State after a full read of the store at revision asOf, or one of individual changes only if asOf is zero.
 func New(asOf Revision, changes []Change) State {
 	s := State{asOf: asOf, changes: make(map[string]Change, len(changes))}
 	for _, c := range changes {
@@ -45,20 +45,20 @@
 	return s
 }
 
-// add applies a change unless a later one of its zone is known. The caller owns the map.
+// add applies a change unless a later one of its zone is known. It modifies the map, which must not be shared yet.
 func (s State) add(c Change) {
 	if known, ok := s.changes[c.Zone]; !ok || c.Revision > known.Revision {
 		s.changes[c.Zone] = c
 	}
 }
 
-// prune removes the changes that say no more than asOf does. The caller owns the map.
+// prune removes cancellations that the full read at asOf already covers. It modifies the map, which must not be shared yet.
 func (s State) prune() {
 	maps.DeleteFunc(s.changes, func(_ string, c Change) bool { return !c.IsEvacuated && c.Revision <= s.asOf })
 }
 
-// Merge returns what is known from both states: the newest change of each zone. A zone that one state has as evacuated is
-// taken back if the other state was fully read later and does not have it. The order of merges does not matter.
+// Merge returns the combined state with the newest change of each zone. A zone that is evacuated in one state counts as no longer evacuated
+// if the other state comes from a later full read that does not contain it. The order of merges does not matter.
 func (s State) Merge(other State) State {
 	merged := State{asOf: max(s.asOf, other.asOf), changes: make(map[string]Change)}
 	for _, each := range [...]struct{ from, against State }{{s, other}, {other, s}} {
@@ -72,12 +72,12 @@
 	return merged
 }
 
-// Has reports whether an availability zone is evacuated.
+// Has reports whether the given availability zone is evacuated.
 func (s State) Has(zone string) bool {
 	return s.changes[zone].IsEvacuated
 }
 
-// Zones returns the evacuated availability zones in order.
+// Zones returns the evacuated availability zones in lexical order.
 func (s State) Zones() []string {
 	var zones []string
 	for _, c := range s.Changes() {
@@ -88,7 +88,7 @@
 	return zones
 }
 
-// AsOf returns the revision of the latest full reading, zero if there was none.
+// AsOf returns the store revision of the latest full read, or zero if there was none.
 func (s State) AsOf() Revision {
 	return s.asOf
 }
@@ -98,7 +98,7 @@
 	return slices.SortedFunc(maps.Values(s.changes), func(a, b Change) int { return cmp.Compare(a.Zone, b.Zone) })
 }
 
-// Equal reports whether two states hold the same.
+// Equal reports whether two states are identical.
 func (s State) Equal(other State) bool {
 	return s.asOf == other.asOf && maps.Equal(s.changes, other.changes)
 }
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-func put(zone string, revision Revision) Change {
+func evacuated(zone string, revision Revision) Change {
 	return Change{Zone: zone, Revision: revision, IsEvacuated: true}
 }
 
-func gone(zone string, revision Revision) Change { return Change{Zone: zone, Revision: revision} }
+func cancelled(zone string, revision Revision) Change { return Change{Zone: zone, Revision: revision} }
 
 func TestTheNewestChangeOfAZoneWins(t *testing.T) {
 	for _, test := range []struct {
@@ -22,47 +22,47 @@
 		first, then State
 		want        []string
 	}{
-		{"nothing is known", State{}, State{}, nil},
-		{"evacuated", New(5, nil), New(0, []Change{put("a", 6)}), []string{"a"}},
-		{"taken back", New(5, []Change{put("a", 3)}), New(0, []Change{gone("a", 6)}), nil},
-		{"taken back, and the evacuation comes late", New(0, []Change{gone("a", 6)}), New(0, []Change{put("a", 3)}), nil},
-		{"taken back and repeated", New(0, []Change{put("a", 3), gone("a", 4)}), New(0, []Change{put("a", 5)}), []string{"a"}},
-		{"a later reading without it", New(0, []Change{put("a", 3)}), New(7, nil), nil},
-		{"an earlier reading without it", New(0, []Change{put("a", 9)}), New(7, nil), []string{"a"}},
-		{"a reading at its revision without it", New(0, []Change{put("a", 7)}), New(7, nil), []string{"a"}},
-		{"an earlier reading with it", New(9, nil), New(7, []Change{put("a", 3)}), nil},
-		{"another zone stays", New(4, []Change{put("a", 3), put("b", 4)}), New(0, []Change{gone("a", 6)}), []string{"b"}},
+		{"both states are empty", State{}, State{}, nil},
+		{"evacuated", New(5, nil), New(0, []Change{evacuated("a", 6)}), []string{"a"}},
+		{"evacuation cancelled", New(5, []Change{evacuated("a", 3)}), New(0, []Change{cancelled("a", 6)}), nil},
+		{"cancelled, and the evacuation arrives late", New(0, []Change{cancelled("a", 6)}), New(0, []Change{evacuated("a", 3)}), nil},
+		{"cancelled and evacuated again", New(0, []Change{evacuated("a", 3), cancelled("a", 4)}), New(0, []Change{evacuated("a", 5)}), []string{"a"}},
+		{"later full read without the zone", New(0, []Change{evacuated("a", 3)}), New(7, nil), nil},
+		{"earlier full read without the zone", New(0, []Change{evacuated("a", 9)}), New(7, nil), []string{"a"}},
+		{"full read at the revision of the change, without the zone", New(0, []Change{evacuated("a", 7)}), New(7, nil), []string{"a"}},
+		{"earlier full read with the zone", New(9, nil), New(7, []Change{evacuated("a", 3)}), nil},
+		{"other zones are unaffected", New(4, []Change{evacuated("a", 3), evacuated("b", 4)}), New(0, []Change{cancelled("a", 6)}), []string{"b"}},
 	} {
 		if got := test.first.Merge(test.then).Zones(); !slices.Equal(got, test.want) {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 		if got := test.then.Merge(test.first).Zones(); !slices.Equal(got, test.want) {
-			t.Errorf("%s, in reverse: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s, merged in reverse: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// history is what operators did: the truth after each revision.
+// history is the sequence of changes made by the operators, from which the correct state at each revision follows.
 type history struct {
 	changes []Change
 	random  *rand.Rand
 }
 
-// grow adds a change of a random zone that differs from its present state.
-func (h *history) grow() {
+// addChange evacuates a random zone, or cancels its evacuation if it is evacuated.
+func (h *history) addChange() {
 	zone := string(rune('a' + h.random.IntN(3)))
-	is := slices.Contains(h.at(Revision(len(h.changes))), zone)
-	h.changes = append(h.changes, Change{Zone: zone, Revision: Revision(len(h.changes) + 1), IsEvacuated: !is})
+	wasEvacuated := slices.Contains(h.at(Revision(len(h.changes))), zone)
+	h.changes = append(h.changes, Change{Zone: zone, Revision: Revision(len(h.changes) + 1), IsEvacuated: !wasEvacuated})
 }
 
-// at returns the evacuated zones at a revision, in order.
+// at returns the evacuated zones at a revision in lexical order.
 func (h *history) at(revision Revision) []string {
-	evacuated := make(map[string]bool)
+	isEvacuated := make(map[string]bool)
 	for _, c := range h.changes[:revision] {
-		evacuated[c.Zone] = c.IsEvacuated
+		isEvacuated[c.Zone] = c.IsEvacuated
 	}
 	var zones []string
-	for zone, is := range evacuated {
+	for zone, is := range isEvacuated {
 		if is {
 			zones = append(zones, zone)
 		}
@@ -71,8 +71,8 @@
 	return zones
 }
 
-// reading returns a full reading at a revision, some of whose pages may have been read later.
-func (h *history) reading(at Revision) State {
+// fullRead returns the State of a paginated read of the store that began at a revision; some pages may be read at a later one.
+func (h *history) fullRead(at Revision) State {
 	var changes []Change
 	for _, zone := range []string{"a", "b", "c"} {
 		page := at + Revision(h.random.IntN(len(h.changes)-int(at)+1))
@@ -89,49 +89,49 @@
 	return New(at, changes)
 }
 
-// TestProcessesAgreeWhateverTheOrderOfNews lets processes hear readings, single changes and each other in random order, with
-// news lost, repeated and late. None may go back to an earlier state of a zone, and once all have heard the latest
-// changes they agree with the store.
-func TestProcessesAgreeWhateverTheOrderOfNews(t *testing.T) {
+// TestStatesConvergeInAnyOrderOfUpdates merges full reads, single changes and the states of other processes in random order, with updates
+// lost, repeated and delayed. No process may return to an earlier change of a zone, and after a full read of the latest revision each has the
+// state of the store.
+func TestStatesConvergeInAnyOrderOfUpdates(t *testing.T) {
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		h := &history{random: random}
 		states := make([]State, 4)
-		// newest is the revision that each process has heard of each zone.
+		// newest holds the latest revision of each zone that each process has seen.
 		newest := make([]map[string]Revision, len(states))
 		for i := range newest {
 			newest[i] = make(map[string]Revision)
 		}
 		for range 60 {
 			i := random.IntN(len(states))
-			var news State
+			var update State
 			switch random.IntN(4) {
 			case 0:
-				h.grow()
+				h.addChange()
 				continue
 			case 1:
 				if len(h.changes) > 0 {
-					news = New(0, []Change{h.changes[random.IntN(len(h.changes))]})
+					update = New(0, []Change{h.changes[random.IntN(len(h.changes))]})
 				}
 			case 2:
-				news = h.reading(Revision(random.IntN(len(h.changes) + 1)))
+				update = h.fullRead(Revision(random.IntN(len(h.changes) + 1)))
 			default:
-				news = states[random.IntN(len(states))]
+				update = states[random.IntN(len(states))]
 			}
-			states[i] = states[i].Merge(news)
-			checkNotBack(t, seed, states[i], newest[i])
+			states[i] = states[i].Merge(update)
+			checkNoRegression(t, seed, states[i], newest[i])
 		}
 		last := Revision(len(h.changes))
 		for i := range states {
-			if got, want := states[i].Merge(h.reading(last)).Zones(), h.at(last); !slices.Equal(got, want) {
-				t.Fatalf("seed %d: process %d has %v, the store %v", seed, i, got, want)
+			if got, want := states[i].Merge(h.fullRead(last)).Zones(), h.at(last); !slices.Equal(got, want) {
+				t.Fatalf("seed %d: process %d has evacuated zones %v, want %v as in the store", seed, i, got, want)
 			}
 		}
 	}
 }
 
-// checkNotBack fails if a state has an earlier change of a zone than before.
-func checkNotBack(t *testing.T, seed uint64, s State, newest map[string]Revision) {
+// checkNoRegression fails the test if a state has an older change of a zone than one seen before.
+func checkNoRegression(t *testing.T, seed uint64, s State, newest map[string]Revision) {
 	t.Helper()
 	for _, c := range s.Changes() {
 		if c.Revision < newest[c.Zone] {
@@ -141,14 +141,14 @@
 	}
 }
 
-func TestMergeIsIdempotentAndKeepsItsOperands(t *testing.T) {
-	s := New(4, []Change{put("a", 3), gone("b", 6)})
+func TestMergeIsIdempotentAndDoesNotModifyOperands(t *testing.T) {
+	s := New(4, []Change{evacuated("a", 3), cancelled("b", 6)})
 	before := fmt.Sprint(s)
 	if merged := s.Merge(s); !merged.Equal(s) {
-		t.Errorf("%v merged with itself is %v", s, merged)
+		t.Errorf("%v merged with itself gives %v", s, merged)
 	}
-	s.Merge(New(9, []Change{put("b", 8)}))
+	s.Merge(New(9, []Change{evacuated("b", 8)}))
 	if after := fmt.Sprint(s); after != before {
-		t.Errorf("Merge has changed its operand from %s to %s", before, after)
+		t.Errorf("Merge changed its operand from %s to %s", before, after)
 	}
 }
