--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,16 +1,15 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package subset decides with which agents an entry keeps sessions. It does no I/O and holds no state.
+// Package subset selects the agents with which an entry keeps sessions (deterministic subsetting). It does no I/O and holds no state.
 //
-// Each session costs its two ends pings, and the entry every load of the agent. With sessions between all entries and all
-// agents, that cost grows with the product of their numbers: 55 entries and 240 agents sent 220,000 pings and echoes a
-// second before the first job came. A subset bounds what an entry pays by Size, and what an agent pays by about
-// Size x entries / agents sessions.
+// Each session costs both ends pings, and the entry also receives every load report of the agent. With a full mesh of sessions the cost
+// grows with the product of the numbers of entries and agents: 55 entries and 240 agents sent 220,000 pings and echoes a second before the
+// first job arrived. Subsetting limits an entry to Size sessions, and an agent to about Size x entries / agents sessions.
 //
-// The choice is a rendezvous hash: every entry ranks the agents by a hash of both names and takes the first ones. Entries
-// need not agree on anything, availability zones are represented by their share of the agents, and a member that comes or
-// goes changes one place of a subset.
+// The selection uses rendezvous hashing: every entry ranks the agents by a hash of both names and takes the first ones. It needs no
+// coordination between entries, each availability zone is represented in proportion to its agents, and an agent that joins or leaves
+// changes only one member of a subset.
 package subset
 
 import (
@@ -21,44 +20,44 @@
 )
 
 const (
-	// MinAgents is the least size of a subset, if there are as many agents. It buys room for jobs of many tasks: the share of the time in
-	// which the subset is full while other agents have room falls with its size.
+	// MinAgents is the minimum size of a subset, if there are that many agents. It provides capacity for jobs of many tasks: the larger the
+	// subset, the less often all of its agents are full while others have capacity.
 	MinAgents = 48
-	// MinSessions is the least mean number of subsets that an agent is in. It keeps agents from being in none where there are few entries
-	// for many agents: with a mean of 8, one agent in 3,000.
+	// MinSessions is the minimum mean number of subsets per agent. It limits how many agents are in no subset at all where there are few
+	// entries and many agents: with a mean of 8, it is one agent in 3,000.
 	MinSessions = 8
 )
 
 // Size returns the number of agents with which an entry keeps sessions.
 //
-// Inputs: the numbers of registered agents and of entries, this one included.
+// Inputs: the number of registered agents and the number of entries, including this one.
 //
-// Rule: MinAgents, or more if the agents would be in fewer than MinSessions subsets otherwise; all agents if there are not as
-// many.
+// Rule: MinAgents, or as many as are needed for a mean of MinSessions subsets per agent; all agents if there are fewer.
 //
-// Reason: an entry pays for its own traffic, which follows the number of entries, and not for the size of the site.
+// Reason: the cost for an entry then depends on its own traffic, which follows the number of entries, and not on the size of the site.
 func Size(agents, entries int) int {
 	share := (MinSessions*agents + entries - 1) / max(entries, 1)
 	return min(agents, max(MinAgents, share))
 }
 
-// maxReplacedPart bounds how many lost agents are replaced, as a part of the size; see Choose: more than the loss of one of three
-// availability zones.
-const maxReplacedPart = 2
+// maxReplacedDivisor limits the replacements of lost agents to size divided by this number (see Choose). This covers the loss of one of
+// three availability zones.
+const maxReplacedDivisor = 2
 
 // Choose returns the names of the agents with which an entry keeps sessions.
 //
-// Inputs: the names of the entry and of all registered agents, the size of the subset, which agents are lost.
+// Inputs: the name of the entry, the names of all registered agents, the size of the subset, and which agents are lost.
 //
-// Rule: the first agents of the entry's ranking, until size of them are not lost, but no more than half of size beyond it. The
-// lost ones among them stay in the subset, as they may come back.
+// Rule: the first agents of the entry's ranking until size of them are not lost, but at most one and a half times size in all. Lost agents
+// stay in the subset, as they may come back.
 //
-// Reason: an entry that has lost more than that is cut off itself, and would open sessions with all agents when the cut ends.
+// Reason: an entry that has lost more agents is probably disconnected itself, and without the limit it would open sessions with all agents
+// once the network recovers.
 func Choose(entry string, agents []string, size int, isLost func(agent string) bool) []string {
 	var chosen []string
 	missing := size
 	for _, agent := range rank(entry, agents) {
-		if missing <= 0 || len(chosen) >= size+size/maxReplacedPart {
+		if missing <= 0 || len(chosen) >= size+size/maxReplacedDivisor {
 			break
 		}
 		chosen = append(chosen, agent)
@@ -69,7 +68,7 @@
 	return chosen
 }
 
-// rank returns the agents in the order in which an entry prefers them.
+// rank returns the agents in the order of preference of the given entry.
 func rank(entry string, agents []string) []string {
 	type weighted struct {
 		name   string
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -35,12 +35,12 @@
 		{100, 0, 100},
 	} {
 		if got := Size(test.agents, test.entries); got != test.want {
-			t.Errorf("%d agents, %d entries: %d, want %d", test.agents, test.entries, got, test.want)
+			t.Errorf("%d agents, %d entries: got size %d, want %d", test.agents, test.entries, got, test.want)
 		}
 	}
 }
 
-// Every agent is in some subset, and none in far more than the mean.
+// Every agent must be in at least one subset, and in at most twice the mean number of subsets.
 func TestNoAgentIsLeftOutOrInTooManySubsets(t *testing.T) {
 	agents := names("agent", 240)
 	sessions := make(map[string]int)
@@ -52,12 +52,12 @@
 	mean := float64(55*48) / 240
 	for _, agent := range agents {
 		if got := float64(sessions[agent]); got < 1 || got > 2*mean {
-			t.Errorf("%s is in %.0f subsets, the mean is %.1f", agent, got, mean)
+			t.Errorf("%s is in %.0f subsets, want 1 to twice the mean of %.1f", agent, got, mean)
 		}
 	}
 }
 
-// The loss of an availability zone leaves every entry most of its subset.
+// If an availability zone fails, every entry must keep at least half of its subset.
 func TestNoSubsetDependsOnOneZone(t *testing.T) {
 	agents := names("agent", 240)
 	for _, entry := range names("entry", 55) {
@@ -67,23 +67,23 @@
 		}
 		for zone, count := range inZone {
 			if count > 32 {
-				t.Errorf("%s has %d of 64 agents in zone %s", entry, count, zone)
+				t.Errorf("%s has %d of 64 agents in zone %s, want 32 at most", entry, count, zone)
 			}
 		}
 	}
 }
 
-func TestALostAgentIsReplacedAndStays(t *testing.T) {
+func TestLostAgentIsReplacedAndStaysInSubset(t *testing.T) {
 	agents := names("agent", 240)
 	before := Choose("entry", agents, 64, none)
 	lost := before[10]
 	during := Choose("entry", agents, 64, func(agent string) bool { return agent == lost })
 	if len(during) != 65 || !slices.Equal(during[:64], before) {
-		t.Errorf("%d agents with one lost: want the 64 of before and one more", len(during))
+		t.Errorf("got %d agents with one lost, want the same 64 and one more", len(during))
 	}
 }
 
-func TestOneNewAgentChangesAtMostOnePlace(t *testing.T) {
+func TestNewAgentReplacesAtMostOneMember(t *testing.T) {
 	agents := names("agent", 240)
 	before := Choose("entry", agents, 64, none)
 	after := Choose("entry", append(slices.Clone(agents), "new"), 64, none)
@@ -94,22 +94,22 @@
 		}
 	}
 	if changed > 1 {
-		t.Errorf("%d places changed", changed)
+		t.Errorf("%d members of the subset changed, want 1 at most", changed)
 	}
 }
 
-// An entry that is cut off itself has lost all agents.
-func TestAnEntryThatHasLostAllAgentsDoesNotChooseAll(t *testing.T) {
+// An entry that is disconnected from the network itself considers all agents lost. It must not select all of them.
+func TestEntryThatLostAllAgentsDoesNotChooseAll(t *testing.T) {
 	isLost := func(string) bool { return true }
 	if got := Choose("entry", names("agent", 240), 64, isLost); len(got) != 96 {
-		t.Errorf("%d agents, want 64 and half as many", len(got))
+		t.Errorf("got %d agents, want 96 (one and a half times the size)", len(got))
 	}
 }
 
-func TestTooFewAgents(t *testing.T) {
+func TestFewerAgentsThanSize(t *testing.T) {
 	agents := names("agent", 3)
 	isLost := func(string) bool { return true }
 	if got := Choose("entry", agents, 64, isLost); len(got) != 3 {
-		t.Errorf("%d agents, want all 3", len(got))
+		t.Errorf("got %d agents, want all 3", len(got))
 	}
 }
