--- a/internal/forecast/rate.go
+++ b/internal/forecast/rate.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// rateTime is the time over which a rate is averaged: some placements of an entry, and less than a burst lasts.
+	// rateTime is the time constant of the moving average: long enough to cover several placements of an entry, and shorter than a burst.
 	rateTime = 400 * time.Millisecond
-	// minWaited is for how long of it tasks have waited before the rate is known.
+	// minWaited is how long tasks must have waited within the averaging time before the rate is considered known.
 	minWaited = 30 * time.Millisecond
-	// scarceShare is the part, 0 to 1, of it in which tasks have waited while room is scarce.
+	// scarceShare is the fraction, 0 to 1, of the averaging time above which waiting tasks mean that capacity is scarce.
 	scarceShare = 0.2
 )
 
-// Rate is the rate at which tasks of one kind are placed while some of them wait. The zero value has seen none. The times that its methods
-// get must not decrease.
+// Rate is a moving average of the rate at which tasks of one kind are placed while some of them wait. The zero value is ready to use. The
+// times passed to its methods must not decrease.
 type Rate struct {
-	// placed is the number of tasks that were placed, waited the seconds in which some waited. In both, what is older counts less.
+	// placed is the number of placed tasks, waited the seconds during which tasks were waiting. Both decay exponentially with rateTime.
 	placed, waited float64
-	// isWaiting is set while tasks wait, as of updated.
+	// isWaiting is true while tasks wait, as of updated.
 	isWaiting bool
 	updated   time.Time
 }
 
-// advance brings the sums up to a time.
+// advance decays the sums up to now.
 func (r *Rate) advance(now time.Time) {
-	remains := math.Exp(-now.Sub(r.updated).Seconds() / rateTime.Seconds())
+	decay := math.Exp(-now.Sub(r.updated).Seconds() / rateTime.Seconds())
 	r.updated = now
-	r.placed *= remains
-	r.waited *= remains
+	r.placed *= decay
+	r.waited *= decay
 	if r.isWaiting {
-		r.waited += rateTime.Seconds() * (1 - remains)
+		r.waited += rateTime.Seconds() * (1 - decay)
 	}
 }
 
-// SetWaiting tells whether tasks wait from now on.
+// SetWaiting records whether tasks are waiting from now on.
 func (r *Rate) SetWaiting(now time.Time, isWaiting bool) {
 	if isWaiting != r.isWaiting {
 		r.advance(now)
@@ -46,8 +46,8 @@
 	}
 }
 
-// Add adds tasks that were placed, or takes some back if the number is negative. It does nothing while no tasks wait: there is more room
-// then than tasks, and their number says nothing of it.
+// Add records placed tasks, or takes back rejected ones if the number is negative. While no tasks wait it does nothing: capacity then exceeds
+// demand, so the number of placements does not measure capacity.
 func (r *Rate) Add(now time.Time, tasks float64) {
 	if r.isWaiting {
 		r.advance(now)
@@ -55,7 +55,7 @@
 	}
 }
 
-// PerSecond returns the rate in tasks a second. It is not known until tasks have waited for a while.
+// PerSecond returns the rate in tasks per second. It is unknown until tasks have waited for minWaited.
 func (r *Rate) PerSecond(now time.Time) (rate float64, isKnown bool) {
 	r.advance(now)
 	if r.waited < minWaited.Seconds() {
@@ -64,7 +64,7 @@
 	return r.placed / r.waited, true
 }
 
-// IsScarce reports whether tasks have waited for a good part of the time lately.
+// IsScarce reports whether tasks have waited for more than scarceShare of the recent time.
 func (r *Rate) IsScarce(now time.Time) bool {
 	r.advance(now)
 	return r.waited > scarceShare*rateTime.Seconds()
--- a/internal/forecast/rate_test.go
+++ b/internal/forecast/rate_test.go
@@ -11,8 +11,9 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// play lets tasks wait for some time, of which one is placed at regular intervals, zero for none. It returns the end.
-func play(r *Rate, from time.Time, length, interval time.Duration) time.Time {
+// simulatePlacements lets tasks wait for the given length of time, during which one is placed at each interval, or none if the interval is
+// zero. It returns the end of that time.
+func simulatePlacements(r *Rate, from time.Time, length, interval time.Duration) time.Time {
 	r.SetWaiting(from, true)
 	if interval > 0 {
 		for at := interval; at <= length; at += interval {
@@ -26,15 +27,15 @@
 	t.Helper()
 	got, isKnown := r.PerSecond(now)
 	if !isKnown || math.Abs(got-want) > want/10+0.5 {
-		t.Errorf("the rate is %.1f, %t, want %.1f", got, isKnown, want)
+		t.Errorf("got rate %.1f, known %t, want %.1f", got, isKnown, want)
 	}
 }
 
-func TestTheRateIsThatWhileTasksWait(t *testing.T) {
+func TestPlacementsCountOnlyWhileTasksWait(t *testing.T) {
 	var r Rate
-	end := play(&r, start, 2*time.Second, 10*time.Millisecond)
+	end := simulatePlacements(&r, start, 2*time.Second, 10*time.Millisecond)
 	checkRate(t, &r, end, 100)
-	// Nothing waits, and more would have room.
+	// No task waits, so these placements do not count.
 	r.SetWaiting(end, false)
 	for range 1000 {
 		r.Add(end.Add(100*time.Millisecond), 1)
@@ -42,37 +43,37 @@
 	checkRate(t, &r, end.Add(100*time.Millisecond), 100)
 }
 
-func TestTheRateFollowsAChange(t *testing.T) {
+func TestRateFollowsChanges(t *testing.T) {
 	var r Rate
-	end := play(&r, start, 2*time.Second, 10*time.Millisecond)
-	end = play(&r, end, 2*time.Second, 50*time.Millisecond)
+	end := simulatePlacements(&r, start, 2*time.Second, 10*time.Millisecond)
+	end = simulatePlacements(&r, end, 2*time.Second, 50*time.Millisecond)
 	checkRate(t, &r, end, 20)
-	end = play(&r, end, 2*time.Second, 0)
+	end = simulatePlacements(&r, end, 2*time.Second, 0)
 	checkRate(t, &r, end, 0)
-	end = play(&r, end, 2*time.Second, 5*time.Millisecond)
+	end = simulatePlacements(&r, end, 2*time.Second, 5*time.Millisecond)
 	checkRate(t, &r, end, 200)
 }
 
-func TestTheRateIsUnknownWithoutWaits(t *testing.T) {
+func TestRateIsUnknownWithoutWaits(t *testing.T) {
 	var r Rate
 	if _, isKnown := r.PerSecond(start); isKnown {
-		t.Error("a rate without any wait is known")
+		t.Error("the rate is known although no task has waited")
 	}
-	end := play(&r, start, 20*time.Millisecond, 10*time.Millisecond)
+	end := simulatePlacements(&r, start, 20*time.Millisecond, 10*time.Millisecond)
 	if _, isKnown := r.PerSecond(end); isKnown {
-		t.Error("a rate is known after a wait of 20 ms")
+		t.Error("the rate is known after a wait of 20 ms, less than minWaited")
 	}
-	end = play(&r, end, 20*time.Millisecond, 10*time.Millisecond)
+	end = simulatePlacements(&r, end, 20*time.Millisecond, 10*time.Millisecond)
 	checkRate(t, &r, end, 100)
 	r.SetWaiting(end, false)
 	if _, isKnown := r.PerSecond(end.Add(5 * time.Second)); isKnown {
-		t.Error("a rate of five seconds ago is known")
+		t.Error("the rate is known five seconds after the last wait")
 	}
 }
 
 func TestRejectedTasksAreTakenBack(t *testing.T) {
 	var r Rate
-	end := play(&r, start, time.Second, 10*time.Millisecond)
+	end := simulatePlacements(&r, start, time.Second, 10*time.Millisecond)
 	before, _ := r.PerSecond(end)
 	r.Add(end, 5)
 	r.Add(end, -5)
@@ -81,24 +82,24 @@
 	checkRate(t, &r, end, 0)
 }
 
-func TestRoomIsScarceWhileTasksWaitForAGoodPart(t *testing.T) {
+func TestIsScarce(t *testing.T) {
 	var r Rate
 	now := start
 	for range 20 {
-		// A tenth of the time.
-		now = play(&r, now, 10*time.Millisecond, 0)
+		// Tasks wait for a tenth of the time.
+		now = simulatePlacements(&r, now, 10*time.Millisecond, 0)
 		r.SetWaiting(now, false)
 		now = now.Add(90 * time.Millisecond)
 	}
 	if r.IsScarce(now) {
-		t.Error("room is scarce although tasks wait for a tenth of the time")
+		t.Error("capacity is scarce although tasks wait for a tenth of the time only")
 	}
-	now = play(&r, now, 300*time.Millisecond, 0)
+	now = simulatePlacements(&r, now, 300*time.Millisecond, 0)
 	if !r.IsScarce(now) {
-		t.Error("room is not scarce although tasks have waited for 300 ms")
+		t.Error("capacity is not scarce although tasks have waited for 300 ms")
 	}
 	r.SetWaiting(now, false)
 	if now = now.Add(time.Second); r.IsScarce(now) {
-		t.Error("room is scarce a second after the last wait")
+		t.Error("capacity is scarce a second after the last wait")
 	}
 }
