--- a/internal/learned/learned.go
+++ b/internal/learned/learned.go
@@ -1,12 +1,12 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package learned holds what an entry learns of the kinds of jobs from those that it serves, in the form in which entries exchange it, and
-// decides how an entry takes in what another one has learned.
+// Package learned defines the statistics that an entry collects about the kinds of jobs it serves, in the form in which entries exchange
+// them, and merges the statistics of another entry.
 //
-// Each entry sees only some of the jobs, and one that starts has seen none. Records are averages, so those of two entries are averaged by how much
-// each rests on: nothing is counted, a record that comes twice or late changes little, and the order does not matter much. Entries that exchange
-// again and again come to the same figures.
+// Each entry sees only some of the jobs, and an entry that has just started has seen none. Records contain averages, not counters, and are
+// merged as averages weighted by the number of samples and their age. A record that arrives twice or late therefore has little effect, and
+// the order hardly matters. Entries that exchange repeatedly converge to the same values.
 package learned
 
 import (
@@ -17,57 +17,57 @@
 )
 
 const (
-	// maxWeight bounds the weight of a record: it is the number of steps over which the averages are taken.
+	// maxWeight caps the weight of a record. It is the number of steps over which the averages are taken.
 	maxWeight = 50
-	// weightDecay is the time in which the weight of a record falls to 1/e after the last job that was seen. A kind may have changed meanwhile.
+	// weightDecay is the time in which the weight of a record falls to 1/e after the last job was seen, as the kind may have changed since.
 	weightDecay = 10 * time.Second
-	// maxShare is the largest share that another entry's record gets in the average, unless there is no record of one's own. An entry trusts what
-	// it sees at least as much as what it hears.
+	// maxShare is the maximum share of another entry's record in the average, unless there is no local record. An entry trusts its own
+	// observations at least as much as those of others.
 	maxShare = 0.5
-	// MaxKinds bounds the kinds that are exchanged; those seen last come first.
+	// MaxKinds is the maximum number of kinds that are exchanged; the most recently seen ones come first.
 	MaxKinds = 32
-	// maxAge is the age from which a record is not exchanged any more.
+	// maxAge is the age above which a record is no longer exchanged.
 	maxAge = time.Minute
 )
 
 const (
-	// ShortestTime is the shortest run time that is learned, so that its logarithm is finite.
+	// ShortestTime is the lower bound of recorded run times, which keeps their logarithms finite.
 	ShortestTime = time.Millisecond
 	// longestTime is far above the run time of any task.
 	longestTime = 7 * 24 * time.Hour
-	// maxUnevenness is far above the number of tasks of a step: the longest run takes at most as many times the mean.
+	// maxUnevenness is far above the number of tasks of a step, which bounds the ratio of the longest run to the mean.
 	maxUnevenness = 1 << 14
-	// rounding is by how much a logarithm may change on its way, as it has single precision there.
-	rounding = 1e-4
+	// logTolerance is the error of a received logarithm, as it is sent in single precision.
+	logTolerance = 1e-4
 )
 
-// leastLog and mostLog bound the logarithms of run times, and mostSquare their variance and covariance.
+// minLog and maxLog bound the logarithms of run times, maxSquare bounds their variance and covariance.
 var (
-	leastLog   = math.Log(ShortestTime.Seconds()) - rounding
-	mostLog    = math.Log(longestTime.Seconds()) + rounding
-	mostSquare = (mostLog - leastLog) * (mostLog - leastLog)
+	minLog    = math.Log(ShortestTime.Seconds()) - logTolerance
+	maxLog    = math.Log(longestTime.Seconds()) + logTolerance
+	maxSquare = (maxLog - minLog) * (maxLog - minLog)
 )
 
-// RunTime is what is known of the run times of a kind: a regression of the mean run time of a step on the caller's guess, both as logarithms of
-// seconds.
+// RunTime holds the run time statistics of a kind: a linear regression of the mean run time of a step on the caller's estimate, both as
+// logarithms of seconds.
 type RunTime struct {
-	// Steps is the number of steps that were seen.
+	// Steps is the number of observed steps.
 	Steps int
-	// Guess and Actual are the averages of the guesses and of the mean run times.
+	// Guess and Actual are the averages of the callers' estimates and of the mean run times.
 	Guess, Actual float64
-	// Variance is that of the guesses, Covariance that of guesses and run times.
+	// Variance is the variance of the estimates, Covariance the covariance of estimates and run times.
 	Variance, Covariance float64
 	// Unevenness is the average ratio of a step's longest run to its mean run.
 	Unevenness float64
 }
 
-// CallerTime is what is known of how long the callers of a kind wait.
+// CallerTime holds statistics of how long the callers of a kind wait for their jobs.
 type CallerTime struct {
-	// Usual is how long they usually wait, zero if that is not known.
+	// Usual is how long callers usually wait, or zero if that is unknown.
 	Usual time.Duration
 }
 
-// Kind is what is known of one kind.
+// Kind holds the statistics of one kind of job.
 type Kind struct {
 	Name       string
 	RunTime    RunTime
@@ -76,33 +76,34 @@
 	Age time.Duration
 }
 
-// weight returns what the record rests on.
+// weight returns the weight of the record in an average: its number of steps, capped and reduced by age.
 func (k Kind) weight() float64 {
 	return math.Min(float64(k.RunTime.Steps), maxWeight) * math.Exp(-k.Age.Seconds()/weightDecay.Seconds())
 }
 
-// IsUsable reports whether the record can have been made from jobs.
+// IsUsable reports whether the record is valid, that is, within the bounds of what real jobs can produce.
 func (k Kind) IsUsable() bool {
 	return k.Name != "" && k.Age >= 0 && k.CallerTime.Usual >= 0 && k.RunTime.isUsable()
 }
 
 func (t RunTime) isUsable() bool {
 	return t.Steps > 0 &&
-		isWithin(leastLog, t.Guess, mostLog) && isWithin(leastLog, t.Actual, mostLog) &&
-		isWithin(0, t.Variance, mostSquare) && isWithin(-mostSquare, t.Covariance, mostSquare) &&
+		isWithin(minLog, t.Guess, maxLog) && isWithin(minLog, t.Actual, maxLog) &&
+		isWithin(0, t.Variance, maxSquare) && isWithin(-maxSquare, t.Covariance, maxSquare) &&
 		isWithin(1, t.Unevenness, maxUnevenness)
 }
 
-// isWithin is false for a figure that is no number.
-func isWithin(least, x, most float64) bool { return least <= x && x <= most }
+// isWithin reports whether x is within the bounds. It returns false for NaN.
+func isWithin(lower, x, upper float64) bool { return lower <= x && x <= upper }
 
-// Merge returns the record with what another entry has learned. The other record is of the same kind.
+// Merge returns the record combined with that of another entry for the same kind.
 //
-// Inputs: the steps that each record rests on, the time since a job was seen for each.
+// Inputs: the number of steps and the age of each record.
 //
-// Rule: the average by weight, in which the other record counts maxShare at most; all of it if there is no record here.
+// Rule: the weighted average, in which the other record gets a share of maxShare at most. Without a local record the other one is taken as
+// it is.
 //
-// Reason: see the package.
+// Reason: see the package comment.
 func (k Kind) Merge(other Kind) Kind {
 	switch {
 	case k.RunTime.Steps == 0:
@@ -116,7 +117,7 @@
 	return k
 }
 
-// withRunTime returns the record with what another one says of run times, and of callers unless that is known here.
+// withRunTime returns the record with the run time and age of another one, and with its caller time if none is known locally.
 func (k Kind) withRunTime(other Kind) Kind {
 	k.RunTime, k.Age = other.RunTime, other.Age
 	if k.CallerTime.Usual == 0 {
@@ -126,12 +127,12 @@
 }
 
 func (t RunTime) average(other RunTime, share float64) RunTime {
-	mix := func(own, others float64) float64 { return own + share*(others-own) }
+	interpolate := func(own, others float64) float64 { return own + share*(others-own) }
 	return RunTime{
 		Steps: max(t.Steps, min(other.Steps, maxWeight)),
-		Guess: mix(t.Guess, other.Guess), Actual: mix(t.Actual, other.Actual),
-		Variance: mix(t.Variance, other.Variance), Covariance: mix(t.Covariance, other.Covariance),
-		Unevenness: mix(t.Unevenness, other.Unevenness),
+		Guess: interpolate(t.Guess, other.Guess), Actual: interpolate(t.Actual, other.Actual),
+		Variance: interpolate(t.Variance, other.Variance), Covariance: interpolate(t.Covariance, other.Covariance),
+		Unevenness: interpolate(t.Unevenness, other.Unevenness),
 	}
 }
 
@@ -145,7 +146,7 @@
 	return CallerTime{Usual: t.Usual + time.Duration(share*float64(other.Usual-t.Usual))}
 }
 
-// Latest returns the records that are exchanged: those of kinds that were seen lately, the latest first, MaxKinds at most.
+// Latest returns the records to exchange: those of recently seen kinds, the most recent first, at most MaxKinds.
 func Latest(kinds []Kind) []Kind {
 	kinds = slices.DeleteFunc(slices.Clone(kinds), func(k Kind) bool { return k.Age > maxAge })
 	slices.SortFunc(kinds, func(a, b Kind) int {
--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -17,68 +17,68 @@
 	}
 }
 
-func TestAnEntryThatHasSeenNothingTakesTheOtherRecord(t *testing.T) {
+func TestMergeWithoutLocalRecordTakesTheOther(t *testing.T) {
 	known := record(30, -1, time.Second)
 	if got := (Kind{Name: "k"}).Merge(known); got != known {
 		t.Errorf("got %+v, want %+v", got, known)
 	}
 }
 
-func TestRecordsAreAveragedByWhatTheyRestOn(t *testing.T) {
+func TestMergeWeighsRecordsByStepsAndAge(t *testing.T) {
 	tests := []struct {
 		name       string
 		own, other Kind
 		want       float64
 	}{
-		{"as many steps", record(200, 0, 0), record(80, 1, 0), 0.5},
-		{"fewer steps there", record(50, 0, 0), record(10, 1, 0), 10.0 / 60},
-		{"more steps there count no more than half", record(10, 0, 0), record(50, 1, 0), 0.5},
-		{"an old record there", record(50, 0, 0), record(50, 1, 10*time.Second), 1 / (1 + math.E)},
+		{"both at the maximum weight", record(200, 0, 0), record(80, 1, 0), 0.5},
+		{"other has fewer steps", record(50, 0, 0), record(10, 1, 0), 10.0 / 60},
+		{"other has more steps, but no more than half the share", record(10, 0, 0), record(50, 1, 0), 0.5},
+		{"other is old", record(50, 0, 0), record(50, 1, 10*time.Second), 1 / (1 + math.E)},
 	}
 	for _, test := range tests {
 		if got := test.own.Merge(test.other).RunTime.Actual; math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("%s: %.3f, want %.3f", test.name, got, test.want)
+			t.Errorf("%s: got %.3f, want %.3f", test.name, got, test.want)
 		}
 	}
 }
 
-// TestEntriesAgreeWhateverTheOrderOfExchanges lets four entries with different records exchange in two orders, some records twice.
-func TestEntriesAgreeWhateverTheOrderOfExchanges(t *testing.T) {
+// TestEntriesConvergeInAnyOrderOfExchanges lets four entries with different records exchange them in two orders, each record twice.
+func TestEntriesConvergeInAnyOrderOfExchanges(t *testing.T) {
 	orders := [][]int{{0, 1, 2, 3}, {3, 1, 0, 2}}
 	for _, order := range orders {
 		entries := []Kind{record(50, -2, 0), record(50, -1, 0), record(50, -1, 0), {Name: "k"}}
 		for range 6 {
 			for _, i := range order {
 				for _, k := range order {
-					told := entries[k]
-					entries[i] = entries[i].Merge(told)
-					entries[i] = entries[i].Merge(told)
+					received := entries[k]
+					entries[i] = entries[i].Merge(received)
+					entries[i] = entries[i].Merge(received)
 				}
 			}
 		}
 		for _, e := range entries {
 			if math.Abs(e.RunTime.Actual-entries[0].RunTime.Actual) > 0.01 || e.RunTime.Actual < -2 || e.RunTime.Actual > -1 {
-				t.Errorf("order %v: %.3f and %.3f", order, e.RunTime.Actual, entries[0].RunTime.Actual)
+				t.Errorf("order %v: got %.3f and %.3f, want equal values between -2 and -1", order, e.RunTime.Actual, entries[0].RunTime.Actual)
 			}
 		}
 	}
 }
 
-func TestTheLatestKindsAreExchanged(t *testing.T) {
+func TestLatestReturnsMostRecentKinds(t *testing.T) {
 	var kinds []Kind
 	for i := range 100 {
 		kinds = append(kinds, Kind{Name: fmt.Sprint(i), Age: time.Duration(99-i) * time.Second})
 	}
 	got := Latest(kinds)
 	if len(got) != MaxKinds || got[0].Name != "99" || got[MaxKinds-1].Name != "68" {
-		t.Errorf("got %d kinds, %s first and %s last", len(got), got[0].Name, got[len(got)-1].Name)
+		t.Errorf("got %d kinds from %s to %s, want the latest ones from 99 to 68", len(got), got[0].Name, got[len(got)-1].Name)
 	}
 	if old := Latest([]Kind{{Name: "a", Age: 2 * maxAge}}); len(old) != 0 {
-		t.Errorf("got %+v, want nothing", old)
+		t.Errorf("got %+v, want no record above the maximum age", old)
 	}
 }
 
-func TestRecordsThatCannotComeFromJobsAreNotUsable(t *testing.T) {
+func TestInvalidRecordsAreNotUsable(t *testing.T) {
 	for name, change := range map[string]func(*Kind){
 		"no name":           func(k *Kind) { k.Name = "" },
 		"no steps":          func(k *Kind) { k.RunTime.Steps = 0 },
@@ -98,13 +98,13 @@
 		k := record(1, 0, 0)
 		change(&k)
 		if k.IsUsable() {
-			t.Errorf("%s: usable", name)
+			t.Errorf("%s: invalid record is reported as usable", name)
 		}
 	}
 	for name, logarithm := range map[string]float64{"1 s": 0, "the shortest": math.Log(1e-3), "a day": math.Log(86400)} {
-		// Records have single precision on their way.
+		// Records are sent in single precision.
 		if k := record(1, float64(float32(logarithm)), 0); !k.IsUsable() {
-			t.Errorf("a good record of %s is not usable", name)
+			t.Errorf("valid record of %s is not usable", name)
 		}
 	}
 }
