--- a/internal/ejection/ejection.go
+++ b/internal/ejection/ejection.go
@@ -1,28 +1,28 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package ejection decides whether a worker gets tasks, by how its runs end (outlier ejection).
+// Package ejection implements outlier ejection: it decides from the outcomes of a worker's runs whether the worker gets tasks.
 //
-// A Detector is a state machine without I/O and without a clock. It watches one worker, for the agent beside it, which sees the runs of all
-// entries.
+// A Detector is a state machine that does no I/O and reads no clock. It monitors one worker on behalf of the worker's agent, which sees the
+// runs of all entries.
 //
-//	in service -> back-off    the latest runs went so badly that the worker is more likely ill than well, or it went down repeatedly
+//	in service -> back-off    recent runs indicate that the worker is more likely faulty than healthy, or it went down repeatedly
 //	back-off   -> probing     the back-off is over
 //	probing    -> back-off    a probe failed; the back-off is doubled
 //	probing    -> in service  enough probes were done: one runs at a time at first, and one more with each that is done; or no entry
-//	                          had a task for a probe for a while
+//	                          had a task for a probe for maxProbeWait
 //
-// A worker in back-off or probing is ejected. A probe is a run of one task of a caller's job; entries choose one that can bear its failure.
+// A worker in back-off or probing is ejected. A probe is a run of one task of a caller's job; entries choose a task that can tolerate failure.
 //
 // # Detection
 //
-// The detector is a cumulative sum test (CUSUM) between two assumptions: runs fail as often as others of their kind do elsewhere, or a quarter of
-// those that would not fail besides. Each run adds the logarithm of how much more likely its end is under the second assumption, and the sum
-// starts again at zero where it would fall below. A kind that fails on all workers thus says little of one of them. Of the runs of one job that
-// fail only the first counts, as the job itself may be the cause.
+// The detector is a cumulative sum test (CUSUM) of two hypotheses: either runs fail as often as others of their kind do elsewhere, or a quarter
+// of those that would succeed elsewhere fail as well. Each run adds the log-likelihood ratio of its outcome to the sum, which never falls below
+// zero. A kind that fails on all workers is therefore little evidence against a single one. Of the failed runs of one job only the first
+// counts, as the job itself may be the cause.
 //
-// A run that takes far longer than expected counts like a failed one before it ends, so that a worker is found on which nothing ends. If only runs
-// of one kind do while others are done, the kind is the likelier cause (kinds.go).
+// A run that takes far longer than expected counts as failed before it ends, so that a worker on which nothing ends is detected. If only runs
+// of one kind are overdue while runs of other kinds are done, the kind is the more likely cause (kinds.go).
 package ejection
 
 import (
@@ -31,110 +31,110 @@
 )
 
 const (
-	// minRate is the least share of runs that is assumed to fail on a worker that is well. minOverdueRate is the same for runs that are overdue:
-	// estimates are wrong at times, and a few runs of each site take several times as long as others. minRejectedRate is that for starts that are
-	// rejected or lost: each costs some milliseconds, so a worker that carries out some of them is worth using.
+	// minRate is the lowest failure rate that is assumed for runs on a healthy worker. minOverdueRate is the same for overdue runs, as estimates
+	// are sometimes wrong and a few runs of each site take several times as long as others. minRejectedRate applies to starts that are rejected
+	// or lost: each costs only a few milliseconds, so a worker that executes some of them is still worth using.
 	minRate         = 0.02
 	minOverdueRate  = 0.05
 	minRejectedRate = 0.6
-	// excessRate is the share of the runs, of those that would not fail elsewhere, that fail on a worker that is ill.
+	// excessRate is the fraction of runs that fail on a faulty worker, of those that would not fail elsewhere.
 	excessRate = 0.25
-	// maxScore is the sum from which a worker is ejected: that it is ill is then e^6 times, about 400 times, as likely as before. It takes three jobs
-	// in a row that fail for the worker alone: two happen on each site now and then. restoredScore is that of a worker that has just been
-	// put in service again, for which one less suffices.
-	maxScore      = 6
+	// ejectionScore is the sum at which a worker is ejected. The odds that it is faulty have then grown by a factor of e^6, about 400. Reaching
+	// it takes three jobs in a row that fail on this worker only, as two occasionally happen on every site. restoredScore is the score of a
+	// worker that was just put back in service, which two such jobs eject.
+	ejectionScore = 6
 	restoredScore = 2
-	// MaxProbeRate is the share of the runs of a kind, 0 to 1, that fail elsewhere, from which a run of it is no probe.
+	// MaxProbeRate is the failure rate of a kind on other workers, 0 to 1, from which its runs are not used as probes.
 	MaxProbeRate = 0.25
 
-	// minBackoff and maxBackoff bound the time without probes. A worker that is well again should be in service within a second, of which three rounds of
-	// probes take the rest.
+	// minBackoff and maxBackoff bound the back-off. A recovered worker should be back in service within a second, of which the back-off leaves
+	// enough time for three rounds of probes.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 350 * time.Millisecond
-	// relapseTime is the time in service within which another ejection continues with the back-off of the one before.
-	relapseTime = 5 * time.Second
-	// ProbeTime is how long a probe should take at most, so that the rounds of probes (neededProbes) fit into the second that minBackoff
-	// names. One that takes longer does not hold up the next ones.
+	// relapseWindow is the time after a return to service within which another ejection doubles the previous back-off.
+	relapseWindow = 5 * time.Second
+	// ProbeTime is the maximum time that a probe should take, so that the three rounds of probes (requiredProbes) fit into the second stated
+	// at minBackoff. A probe that takes longer does not delay the next ones.
 	ProbeTime = 150 * time.Millisecond
-	// neededProbes is how many probes have to be done. One runs at first, then two at a time, then the others: three rounds, one after the
-	// other. Of the workers that fail half of their runs one in thirty is put in service by that.
-	neededProbes = 5
-	// maxSilence is how long a worker waits for its next probe to be used. After that it is in service again: there are hardly any jobs, or none that
-	// may fail.
-	maxSilence = 3 * time.Second
-
-	// flapTime is the time within which a worker goes down twice that is ejected: it goes down again soon after it has come back.
-	flapTime = 5 * time.Second
-
-	// rememberedJobs is how many jobs of which a run failed are remembered.
-	rememberedJobs = 8
+	// requiredProbes is the number of probes that have to be done before a worker returns to service. They take three successive rounds: one
+	// probe first, then two at a time, then the others. Of the workers that fail half of their runs, one in thirty passes.
+	requiredProbes = 5
+	// maxProbeWait is how long a worker waits for its next probe to be used before it returns to service without it. There are then hardly any
+	// jobs, or none that may fail.
+	maxProbeWait = 3 * time.Second
+
+	// flapWindow is the time within which a worker that goes down twice is ejected, as it went down again soon after it had come back.
+	flapWindow = 5 * time.Second
+
+	// maxFailedJobs is the number of jobs with failed runs that are kept, to count each job once.
+	maxFailedJobs = 8
 )
 
-// tolerance is how much longer than usual a run may take before it is overdue. The factors are plain numbers; they have the type of the times
-// that they multiply.
-type tolerance struct {
-	// factor is by how many times it may exceed its usual time, and projected by how many times it may if it goes on as fast as until now.
+// overdueLimits defines how much longer than usual a run may take before it is overdue. The factors are dimensionless; they are of type
+// time.Duration because they multiply durations.
+type overdueLimits struct {
+	// factor limits the elapsed time as a multiple of the usual time, projected limits the total time extrapolated from the progress so far.
 	factor    time.Duration
 	projected time.Duration
-	// minElapsed is how long it must have lasted before its progress tells its speed, as that is listed in hundredths and at intervals.
+	// minElapsed is the elapsed time from which the progress is used, as it is listed in whole per cent and only at intervals.
 	minElapsed time.Duration
 }
 
 var (
-	// runTolerance is that for a run in service: one far from its data takes three times as long.
-	runTolerance = tolerance{factor: 3, projected: 5, minElapsed: 60 * time.Millisecond}
-	// probeTolerance is that for a probe, which runs near its data and is listed more often.
-	probeTolerance = tolerance{factor: 2, projected: 3, minElapsed: 40 * time.Millisecond}
+	// runLimits applies to runs in service. A run far from its data takes three times as long.
+	runLimits = overdueLimits{factor: 3, projected: 5, minElapsed: 60 * time.Millisecond}
+	// probeLimits applies to probes, which run near their data and are listed more often.
+	probeLimits = overdueLimits{factor: 2, projected: 3, minElapsed: 40 * time.Millisecond}
 )
 
 const (
-	// overdueMargin is what is added to the usual times, as runs are listed at intervals.
+	// overdueMargin is added to the limit of the elapsed time, as runs are listed only at intervals.
 	overdueMargin = 50 * time.Millisecond
-	// percentDone is the progress of a run that is done.
+	// percentDone is the progress of a completed run.
 	percentDone = 100
 )
 
-// Progress is how far a run has come.
+// Progress is the progress of a run.
 type Progress struct {
 	Elapsed time.Duration
-	// Percent is that of the work that is done, if IsKnown is set.
+	// Percent is the percentage of the work that is done. It is valid only if IsKnown is true.
 	Percent int
 	IsKnown bool
 }
 
-// IsOverdue reports whether a run lasts far longer than its usual time. isProbe is set for a probe.
+// IsOverdue reports whether a run takes far longer than its usual time. Probes have lower limits than other runs.
 func IsOverdue(p Progress, usual time.Duration, isProbe bool) bool {
-	allowed := runTolerance
+	limits := runLimits
 	if isProbe {
-		allowed = probeTolerance
+		limits = probeLimits
 	}
 	switch {
 	case usual <= 0:
 		return false
-	case p.Elapsed > allowed.factor*usual+overdueMargin:
+	case p.Elapsed > limits.factor*usual+overdueMargin:
 		return true
-	case !p.IsKnown || p.Elapsed < allowed.minElapsed:
+	case !p.IsKnown || p.Elapsed < limits.minElapsed:
 		return false
 	default:
 		projected := p.Elapsed * percentDone / time.Duration(max(p.Percent, 1))
-		return projected > allowed.projected*usual
+		return projected > limits.projected*usual
 	}
 }
 
-// End is how a run went.
+// End is the outcome of a run.
 type End int
 
-// The ends of runs that count.
+// Outcomes of runs that the detector evaluates.
 const (
 	EndDone End = iota
 	EndFailed
-	// EndOverdue is that of a run which has lasted far longer than usual and has not ended.
+	// EndOverdue is a run that has taken far longer than usual and has not ended yet.
 	EndOverdue
-	// EndRejected is that of a start that the worker rejected as unhealthy, or which it did not carry out.
+	// EndRejected is a start that the worker rejected as unhealthy or did not execute.
 	EndRejected
 )
 
-// minRate returns the least share of the runs that are assumed to end so on a worker that is well.
+// minRate returns the lowest rate of this outcome that is assumed for a healthy worker.
 func (e End) minRate() float64 {
 	switch e {
 	case EndOverdue:
@@ -146,21 +146,21 @@
 	}
 }
 
-// Run is a run that ended, or that counts as if it had.
+// Run is a run that has ended, or that is evaluated as if it had.
 type Run struct {
 	Job  string
 	Kind string
 	End  End
-	// KindFailureRate is the share of the runs of the kind, 0 to 1, that fail elsewhere.
+	// KindFailureRate is the failure rate of the kind on other workers, 0 to 1.
 	KindFailureRate float64
-	// Epoch is Detector.Epoch when the run was started.
+	// Epoch is the value of Detector.Epoch when the run was started.
 	Epoch int
 }
 
-// Reason is why a worker was ejected, for logs.
+// Reason states why a worker was ejected, for logs.
 type Reason string
 
-// The reasons of an ejection.
+// Reasons for an ejection.
 const (
 	ReasonFailures Reason = "runs failed"
 	ReasonOverdue  Reason = "runs are overdue"
@@ -169,7 +169,7 @@
 	ReasonProbe    Reason = "a probe failed"
 )
 
-// reasonOf returns the reason of an ejection by the end of its last run.
+// reasonOf returns the reason for an ejection from the outcome of the run that triggered it.
 func reasonOf(end End) Reason {
 	switch end {
 	case EndOverdue:
@@ -181,7 +181,7 @@
 	}
 }
 
-// phase is the phase of a worker.
+// phase is the state of the state machine described in the package comment.
 type phase int
 
 const (
@@ -190,38 +190,38 @@
 	phaseProbing
 )
 
-// Detector watches the runs of one worker. The zero value is that of a worker in service of which nothing is known.
+// Detector evaluates the runs of one worker. The zero value is a worker in service without any runs.
 type Detector struct {
 	phase phase
-	// score is the sum of the test while the worker is in service.
+	// score is the cumulative sum of the test while the worker is in service.
 	score float64
-	// kinds is what the runs of each kind show meanwhile.
-	kinds kinds
-	// epoch counts the ejections and the failed probes. Runs of an earlier epoch count no more.
+	// kinds holds the evidence per kind while the worker is in service.
+	kinds kindEvidence
+	// epoch counts ejections and failed probes. Runs of an earlier epoch are ignored.
 	epoch int
-	// ejectedAt is when the worker was ejected, reason why, and returnedAt when it was last put in service again.
+	// ejectedAt and reason describe the latest ejection. returnedAt is when the worker last returned to service.
 	ejectedAt  time.Time
 	reason     Reason
 	returnedAt time.Time
-	// backoff is the latest back-off, and until its end.
+	// backoff is the duration of the latest back-off, until its end.
 	backoff time.Duration
 	until   time.Time
-	// done is how many probes are done since the back-off, and activeAt when one was last under way.
-	done     int
-	activeAt time.Time
-	// failed are the latest failed runs, the oldest first, one of each job.
+	// probesDone is the number of probes done since the back-off. activeAt is when a probe was last in progress.
+	probesDone int
+	activeAt   time.Time
+	// failed holds the latest failed runs, oldest first, one per job.
 	failed []Run
 	// downAt is when the worker last went down.
 	downAt time.Time
 }
 
-// IsEjected reports whether the worker gets no tasks but probes.
+// IsEjected reports whether the worker gets no tasks except probes.
 func (d *Detector) IsEjected() bool { return d.phase != phaseInService }
 
 // Epoch returns the number of ejections and failed probes so far.
 func (d *Detector) Epoch() int { return d.epoch }
 
-// Ejection describes the latest ejection: when and why it was, and the kinds of the runs that failed before it.
+// Ejection returns the time and reason of the latest ejection, and the kinds of the failed runs that preceded it.
 func (d *Detector) Ejection() (at time.Time, reason Reason, kinds []string) {
 	seen := make(map[string]bool)
 	for _, run := range d.failed {
@@ -233,54 +233,54 @@
 	return d.ejectedAt, d.reason, kinds
 }
 
-// Observe applies how a run went. Those of an earlier epoch do not count: they were started before the ejection.
+// Observe evaluates the outcome of a run. Runs of an earlier epoch are ignored, as they were started before the ejection or failed probe.
 func (d *Detector) Observe(now time.Time, run Run) {
 	switch {
 	case run.Epoch != d.epoch:
 	case d.phase == phaseInService:
-		d.test(now, run)
+		d.updateScore(now, run)
 	case d.phase == phaseProbing:
 		d.observeProbe(now, run)
 	}
 }
 
-// test adds a run to the sum, and ejects the worker if that is too large.
-func (d *Detector) test(now time.Time, run Run) {
+// updateScore adds the evidence of a run to the score, and ejects the worker if it reaches ejectionScore.
+func (d *Detector) updateScore(now time.Time, run Run) {
 	evidence := d.kinds.limit(now, run, d.evidence(run), d.score)
 	d.score = max(d.score+evidence, 0)
 	d.kinds.add(now, run, evidence)
-	if d.score >= maxScore {
+	if d.score >= ejectionScore {
 		d.eject(now, reasonOf(run.End))
 	}
 }
 
-// evidence returns the logarithm of how much more likely the end of a run is on a worker that is ill.
+// evidence returns the log-likelihood ratio of a run's outcome: positive values indicate a faulty worker.
 func (d *Detector) evidence(run Run) float64 {
 	if run.End == EndDone {
 		return math.Log(1 - excessRate)
 	}
-	if run.End != EndRejected && !d.remember(run) {
+	if run.End != EndRejected && !d.recordFailure(run) {
 		return 0
 	}
 	rate := min(max(run.KindFailureRate, run.End.minRate()), 1)
 	return math.Log((rate + excessRate*(1-rate)) / rate)
 }
 
-// remember adds a failed run to those that are remembered. It returns false if another run of its job is one of them.
-func (d *Detector) remember(run Run) bool {
+// recordFailure adds a run to the latest failed runs. It returns false if they already contain a run of the same job.
+func (d *Detector) recordFailure(run Run) bool {
 	for _, other := range d.failed {
 		if other.Job == run.Job {
 			return false
 		}
 	}
 	d.failed = append(d.failed, run)
-	if len(d.failed) > rememberedJobs {
+	if len(d.failed) > maxFailedJobs {
 		d.failed = d.failed[1:]
 	}
 	return true
 }
 
-// observeProbe applies how a run went that was started while the worker was probed.
+// observeProbe evaluates the outcome of a run that was started as a probe.
 func (d *Detector) observeProbe(now time.Time, run Run) {
 	d.activeAt = now
 	switch {
@@ -291,24 +291,24 @@
 	}
 }
 
-// probeDone counts a probe that is done.
+// probeDone counts a successful probe, and restores the worker after the last required one.
 func (d *Detector) probeDone(now time.Time) {
-	d.done++
-	if d.done >= neededProbes {
+	d.probesDone++
+	if d.probesDone >= requiredProbes {
 		d.restore(now)
 	}
 }
 
-// restore puts the worker in service.
+// restore returns the worker to service.
 func (d *Detector) restore(now time.Time) {
 	d.phase, d.score, d.failed = phaseInService, restoredScore, nil
-	d.kinds.restored()
+	d.kinds.reset()
 	d.returnedAt = now
 }
 
-// eject ends the service of the worker.
+// eject takes the worker out of service and starts its back-off.
 func (d *Detector) eject(now time.Time, reason Reason) {
-	isRelapse := d.backoff > 0 && now.Sub(d.returnedAt) < relapseTime
+	isRelapse := d.backoff > 0 && now.Sub(d.returnedAt) < relapseWindow
 	d.ejectedAt, d.reason = now, reason
 	if isRelapse {
 		d.startBackoff(now, min(2*d.backoff, maxBackoff))
@@ -322,47 +322,48 @@
 	d.backoff, d.until = backoff, now.Add(backoff)
 }
 
-// Advance applies the time that has passed. isActive is set while a probe is under way, or none can be as the worker gets no tasks for other
-// reasons.
+// Advance updates the phase to the current time. isActive is true while a probe is in progress, or if no probe is possible because the worker
+// gets no tasks for other reasons.
 func (d *Detector) Advance(now time.Time, isActive bool) {
 	if d.phase == phaseBackoff && !now.Before(d.until) {
-		d.phase, d.done, d.activeAt = phaseProbing, 0, now
+		d.phase, d.probesDone, d.activeAt = phaseProbing, 0, now
 	}
 	if isActive {
 		d.activeAt = now
 	}
-	if d.phase == phaseProbing && now.Sub(d.activeAt) > maxSilence {
+	if d.phase == phaseProbing && now.Sub(d.activeAt) > maxProbeWait {
 		d.restore(now)
 	}
 }
 
-// IsProbing reports whether the worker is ejected and its back-off is over.
+// IsProbing reports whether the worker is ejected and its back-off has ended.
 func (d *Detector) IsProbing() bool { return d.phase == phaseProbing }
 
-// MissingProbes returns how many more probes may be started if so many are offered or under way, without those that take longer than ProbeTime.
+// MissingProbes returns how many more probes may be started. probes is the number of probes that are offered or in progress, excluding those
+// that take longer than ProbeTime.
 func (d *Detector) MissingProbes(probes int) int {
 	if d.phase != phaseProbing {
 		return 0
 	}
-	return max(1+d.done-probes, 0)
+	return max(1+d.probesDone-probes, 0)
 }
 
-// WentDown applies that the worker has crashed or ceased to answer. What ran there does not count as failed.
+// WentDown reports that the worker crashed or became unresponsive. Its runs do not count as failed.
 func (d *Detector) WentDown(now time.Time) {
-	isFlapping := !d.downAt.IsZero() && now.Sub(d.downAt) < flapTime
+	isFlapping := !d.downAt.IsZero() && now.Sub(d.downAt) < flapWindow
 	d.downAt = now
 	if isFlapping && !d.IsEjected() {
 		d.eject(now, ReasonFlapping)
 	}
 }
 
-// Restarted applies that another process of the worker has begun. The back-off of one that is ejected begins again, as it was not there to be
-// probed.
+// Restarted reports that a new process of the worker has started. If the worker is ejected its back-off starts again, as it could not be probed
+// while it was down.
 func (d *Detector) Restarted(now time.Time) {
 	if d.IsEjected() {
 		d.startBackoff(now, d.backoff)
 	}
 }
 
-// Replaced applies that the worker has left as it said. The one that follows is in service.
+// Replaced reports that the worker left as announced. Its successor starts in service.
 func (d *Detector) Replaced() { *d = Detector{epoch: d.epoch + 1} }
--- a/internal/ejection/ejection_test.go
+++ b/internal/ejection/ejection_test.go
@@ -10,39 +10,39 @@
 	"time"
 )
 
-// watch is a detector with its time, and counts the jobs of which it was told.
-type watch struct {
+// testDetector is a detector with a simulated clock that numbers the jobs whose runs it observes.
+type testDetector struct {
 	Detector
 	now  time.Time
 	jobs int
 }
 
-func newWatch() *watch { return &watch{now: time.Unix(1000, 0)} }
+func newTestDetector() *testDetector { return &testDetector{now: time.Unix(1000, 0)} }
 
-// run tells the detector of a run of a job of its own.
-func (w *watch) run(end End, kindFailureRate float64) {
+// run reports a run of a new job to the detector.
+func (w *testDetector) run(end End, kindFailureRate float64) {
 	w.jobs++
 	w.Observe(w.now, Run{Job: fmt.Sprintf("j%d", w.jobs), Kind: "kind", End: end, KindFailureRate: kindFailureRate, Epoch: w.Epoch()})
 }
 
-// fail tells it of as many failed runs as eject a worker in service.
-func (w *watch) fail() {
-	for range failures {
+// failUntilEjected reports as many failed runs as are needed to eject a worker in service.
+func (w *testDetector) failUntilEjected() {
+	for range failuresToEject {
 		w.run(EndFailed, 0)
 	}
 }
 
-// wait lets time pass without probes.
-func (w *watch) wait(d time.Duration) {
+// wait advances the clock without probes.
+func (w *testDetector) wait(d time.Duration) {
 	w.now = w.now.Add(d)
 	w.Advance(w.now, false)
 }
 
-// failures is how many jobs that fail in a row eject a worker.
-const failures = 3
+// failuresToEject is the number of jobs failing in a row that eject a worker.
+const failuresToEject = 3
 
-// until returns after how many runs the worker is ejected if a share of them fails, or most if it is not.
-func (w *watch) until(random *rand.Rand, end End, share, kindFailureRate float64, most int) int {
+// runsUntilEjected returns after how many runs the worker is ejected if the given share of them fails, or most if it is not ejected.
+func (w *testDetector) runsUntilEjected(random *rand.Rand, end End, share, kindFailureRate float64, most int) int {
 	for i := range most {
 		if w.IsEjected() {
 			return i
@@ -56,8 +56,9 @@
 	return most
 }
 
-// TestDetection plays workers on which a part of the runs goes wrong. The most runs until a faulty worker is ejected, and the fewest until
-// one without a fault is, are means over seeds: a worker has some 30 runs a second, so 3000 are a hundred seconds.
+// TestDetection simulates workers on which a fraction of the runs fails. It bounds the number of runs until a faulty worker is ejected from
+// above, and until a healthy one is ejected from below, as means over the seeds. A worker has some 30 runs a second, so 3000 runs take a
+// hundred seconds.
 func TestDetection(t *testing.T) {
 	const most, seeds = 6000, 100
 	for _, c := range []struct {
@@ -66,10 +67,10 @@
 		share, kindFailureRate float64
 		atMost, atLeast        float64
 	}{
-		{"all fail", EndFailed, 1, 0, failures, failures},
-		{"nearly half fail", EndFailed, 0.44, 0, 10, failures},
-		{"nearly half fail, and a tenth of the kind elsewhere", EndFailed, 0.5, 0.1, 25, failures},
-		{"nearly half hang", EndOverdue, 0.45, 0, 16, failures},
+		{"all fail", EndFailed, 1, 0, failuresToEject, failuresToEject},
+		{"nearly half fail", EndFailed, 0.44, 0, 10, failuresToEject},
+		{"nearly half fail, and a tenth of the kind elsewhere", EndFailed, 0.5, 0.1, 25, failuresToEject},
+		{"nearly half hang", EndOverdue, 0.45, 0, 16, failuresToEject},
 		{"all starts are rejected", EndRejected, 1, 0, 40, 5},
 		{"jobs fail now and then", EndFailed, 0.002, 0, most, most - 200},
 		{"estimates are wrong now and then", EndOverdue, 0.03, 0, most, 1500},
@@ -81,7 +82,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			sum := 0
 			for seed := range uint64(seeds) {
-				sum += newWatch().until(rand.New(rand.NewPCG(seed, 1)), c.end, c.share, c.kindFailureRate, most)
+				sum += newTestDetector().runsUntilEjected(rand.New(rand.NewPCG(seed, 1)), c.end, c.share, c.kindFailureRate, most)
 			}
 			if mean := float64(sum) / seeds; mean > c.atMost || mean < c.atLeast {
 				t.Errorf("ejected after %.1f runs on average, want %.0f to %.0f", mean, c.atLeast, c.atMost)
@@ -90,111 +91,111 @@
 	}
 }
 
-// TestOneJobEjectsNoWorker plays a job that fails by its own fault: of all its tasks only one counts.
-func TestOneJobEjectsNoWorker(t *testing.T) {
-	w := newWatch()
+// TestSingleJobDoesNotEjectWorker simulates a job that fails through its own fault: of its failed runs only one counts.
+func TestSingleJobDoesNotEjectWorker(t *testing.T) {
+	w := newTestDetector()
 	for range 32 {
 		w.Observe(w.now, Run{Job: "j", End: EndFailed})
 	}
 	if w.IsEjected() {
-		t.Error("the runs of one job have ejected the worker")
+		t.Error("the runs of one job ejected the worker")
 	}
 }
 
-// TestFailedProbesDoubleTheBackoff plays a worker that fails everything.
-func TestFailedProbesDoubleTheBackoff(t *testing.T) {
-	w := newWatch()
-	w.fail()
+// TestFailedProbesDoubleBackoff simulates a worker on which all runs fail.
+func TestFailedProbesDoubleBackoff(t *testing.T) {
+	w := newTestDetector()
+	w.failUntilEjected()
 	for _, backoff := range []time.Duration{100, 200, 350, 350} {
 		backoff *= time.Millisecond
 		w.wait(backoff - time.Millisecond)
 		if w.MissingProbes(0) != 0 {
-			t.Fatalf("a probe is due before %s are over", backoff)
+			t.Fatalf("a probe is due before the back-off of %s is over", backoff)
 		}
 		w.wait(time.Millisecond)
 		if w.MissingProbes(0) != 1 {
-			t.Fatalf("%d probes are due after %s, want 1", w.MissingProbes(0), backoff)
+			t.Fatalf("got %d probes due after a back-off of %s, want 1", w.MissingProbes(0), backoff)
 		}
 		w.run(EndFailed, 0)
 	}
 }
 
-// TestDoneProbesPutTheWorkerInService plays a worker that is well again. The runs that were started before the failed probe do not count.
-func TestDoneProbesPutTheWorkerInService(t *testing.T) {
-	w := newWatch()
+// TestSuccessfulProbesRestoreWorker simulates a worker that has recovered. Runs that were started before the ejection must not count.
+func TestSuccessfulProbesRestoreWorker(t *testing.T) {
+	w := newTestDetector()
 	w.run(EndFailed, 0)
 	early := Run{Job: "early", End: EndFailed, Epoch: w.Epoch()}
-	w.fail()
+	w.failUntilEjected()
 	w.wait(minBackoff)
-	for done := range neededProbes {
+	for done := range requiredProbes {
 		if due := w.MissingProbes(0); due != done+1 {
-			t.Fatalf("%d probes are due after %d are done, want one more", due, done)
+			t.Fatalf("got %d probes due after %d are done, want one more than done", due, done)
 		}
 		w.Observe(w.now, early)
 		w.run(EndDone, 0)
 	}
 	if w.IsEjected() {
-		t.Fatal("the worker is ejected although all probes are done")
+		t.Fatal("the worker is still ejected although all probes are done")
 	}
 	w.Observe(w.now, early)
 	w.run(EndFailed, 0)
 	if w.IsEjected() {
-		t.Error("a run from before the ejection counts after it")
+		t.Error("a run from before the ejection was counted after it")
 	}
 	w.run(EndFailed, 0)
 	w.wait(minBackoff)
 	if w.MissingProbes(0) > 0 {
-		t.Error("the back-off of a relapse is no longer than the one before")
+		t.Error("the back-off after a relapse is not longer than the previous one")
 	}
 }
 
-// TestAProbeOfAKindThatFailsEverywhereTellsNothing plays a probe whose kind has come to fail elsewhere too.
-func TestAProbeOfAKindThatFailsEverywhereTellsNothing(t *testing.T) {
-	w := newWatch()
-	w.fail()
+// TestFailedProbeOfFailingKindIsIgnored simulates a probe whose kind has started to fail on other workers as well.
+func TestFailedProbeOfFailingKindIsIgnored(t *testing.T) {
+	w := newTestDetector()
+	w.failUntilEjected()
 	w.wait(minBackoff)
 	w.run(EndFailed, 0.9)
 	if w.MissingProbes(0) != 1 {
-		t.Error("no other probe is due")
+		t.Error("no further probe is due")
 	}
 }
 
-// TestAWorkerWithoutProbesReturns plays a site on which no job suits a probe.
-func TestAWorkerWithoutProbesReturns(t *testing.T) {
-	w := newWatch()
-	w.fail()
+// TestWorkerWithoutProbesIsRestored simulates a site on which no job is suitable as a probe.
+func TestWorkerWithoutProbesIsRestored(t *testing.T) {
+	w := newTestDetector()
+	w.failUntilEjected()
 	w.wait(minBackoff)
-	w.wait(maxSilence + time.Millisecond)
+	w.wait(maxProbeWait + time.Millisecond)
 	if w.IsEjected() {
-		t.Error("the worker is still ejected")
+		t.Error("the worker is still ejected after the longest wait for a probe")
 	}
 }
 
-// TestFlappingWorkersAreEjected plays workers that go down again and again.
+// TestFlappingWorkersAreEjected simulates workers that go down repeatedly.
 func TestFlappingWorkersAreEjected(t *testing.T) {
 	for _, c := range []struct {
 		every     time.Duration
 		isEjected bool
 	}{{2 * time.Second, true}, {20 * time.Second, false}} {
-		w := newWatch()
+		w := newTestDetector()
 		for range 3 {
 			w.wait(c.every)
 			w.WentDown(w.now)
 			w.Restarted(w.now)
 		}
 		if w.IsEjected() != c.isEjected {
-			t.Errorf("down each %s: ejected %t, want %t", c.every, w.IsEjected(), c.isEjected)
+			t.Errorf("worker down every %s: got ejected %t, want %t", c.every, w.IsEjected(), c.isEjected)
 		}
 	}
 }
 
-// TestAnAnnouncedEndLeavesNoTrace plays an ejected worker that is replaced.
-func TestAnAnnouncedEndLeavesNoTrace(t *testing.T) {
-	w := newWatch()
-	w.fail()
+// TestReplacedWorkerStartsInService simulates an ejected worker that announces its end and is replaced.
+func TestReplacedWorkerStartsInService(t *testing.T) {
+	w := newTestDetector()
+	w.failUntilEjected()
 	w.Replaced()
 	if w.IsEjected() {
-		t.Error("the next worker is ejected")
+		t.Error("the replacement of an ejected worker is ejected")
 	}
 }
 
@@ -208,24 +209,24 @@
 		want     bool
 	}{
 		{"far from its data", Progress{Elapsed: 3 * usual}, usual, false, false},
-		{"longer than that", Progress{Elapsed: 4 * usual}, usual, false, true},
+		{"longer than a run far from its data", Progress{Elapsed: 4 * usual}, usual, false, true},
 		{"no estimate", Progress{Elapsed: time.Hour}, 0, false, false},
 		{"no progress", Progress{Elapsed: usual / 2, IsKnown: true}, usual, false, true},
-		{"no progress, just begun", Progress{Elapsed: runTolerance.minElapsed / 2, IsKnown: true}, usual, false, false},
-		{"progress not told", Progress{Elapsed: usual / 2}, usual, false, false},
+		{"no progress, just started", Progress{Elapsed: runLimits.minElapsed / 2, IsKnown: true}, usual, false, false},
+		{"progress unknown", Progress{Elapsed: usual / 2}, usual, false, false},
 		{"a third of the speed", Progress{Elapsed: usual / 2, Percent: 17, IsKnown: true}, usual, false, false},
 		{"a fifth of the speed, probe", Progress{Elapsed: usual / 2, Percent: 10, IsKnown: true}, usual, true, true},
 		{"half of the speed, probe", Progress{Elapsed: usual, Percent: 50, IsKnown: true}, usual, true, false},
 	} {
 		if got := IsOverdue(c.progress, c.usual, c.isProbe); got != c.want {
-			t.Errorf("%s: overdue %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: got overdue %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// TestKindsThatFailEverywhereAreTold plays runs of one kind on the workers of a site. Those of a worker do not count for itself, those of ejected
-// workers only if there are few others, and of each worker only the latest.
-func TestKindsThatFailEverywhereAreTold(t *testing.T) {
+// TestFailureRateOfKind simulates runs of one kind on the workers of a site. A worker's own runs do not count towards its rate, those of
+// ejected workers count only if there are few others, and only the latest run of each worker counts.
+func TestFailureRateOfKind(t *testing.T) {
 	name := func(worker int) string { return fmt.Sprintf("w%d", worker) }
 	var o Outcomes
 	for range 100 {
@@ -234,9 +235,9 @@
 	for i := 1; i <= 8; i++ {
 		o = o.WithRun(name(i), i > 6)
 	}
-	ejects := func(ejected ...string) func(string) bool {
+	isAnyOf := func(names ...string) func(string) bool {
 		return func(worker string) bool {
-			for _, other := range ejected {
+			for _, other := range names {
 				if worker == other {
 					return true
 				}
@@ -245,24 +246,24 @@
 		}
 	}
 	for _, c := range []struct {
-		about   string
-		worker  string
-		ejected func(string) bool
-		want    float64
+		name      string
+		worker    string
+		isEjected func(string) bool
+		want      float64
 	}{
-		{"all others", name(1), ejects(), 3.0 / 8},
-		{"not itself", name(0), ejects(), 2.0 / 8},
-		{"not ejected ones", name(1), ejects(name(0)), 2.0 / 7},
-		{"ejected ones if there are few others", name(1), ejects(name(0), name(2), name(3), name(4), name(5), name(6)), 3.0 / 8},
+		{"all other workers", name(1), isAnyOf(), 3.0 / 8},
+		{"own runs excluded", name(0), isAnyOf(), 2.0 / 8},
+		{"ejected workers excluded", name(1), isAnyOf(name(0)), 2.0 / 7},
+		{"ejected workers included if there are few others", name(1), isAnyOf(name(0), name(2), name(3), name(4), name(5), name(6)), 3.0 / 8},
 	} {
-		if got := o.FailureRate(c.worker, c.ejected); got != c.want {
-			t.Errorf("%s: %.3f, want %.3f", c.about, got, c.want)
+		if got := o.FailureRate(c.worker, c.isEjected); got != c.want {
+			t.Errorf("%s: got failure rate %.3f, want %.3f", c.name, got, c.want)
 		}
 	}
 	for i := range 100 {
 		o = o.WithRun(name(i), false)
 	}
 	if len(o) != maxOutcomes {
-		t.Errorf("%d workers are remembered, want %d", len(o), maxOutcomes)
+		t.Errorf("got outcomes of %d workers, want %d", len(o), maxOutcomes)
 	}
 }
--- a/internal/ejection/kinds.go
+++ b/internal/ejection/kinds.go
@@ -5,117 +5,117 @@
 
 import "time"
 
-// This file tells a kind that takes longer than expected everywhere from a worker that is slow or hangs.
+// This file distinguishes a kind that takes longer than expected on all workers from a worker that is slow or hangs.
 //
-// Inputs: the kinds of the runs on the worker and how they ended.
+// Inputs: the kinds and outcomes of the runs on the worker.
 //
-// Rule: while only runs of one kind are overdue and runs of other kinds are done, these overdue runs raise the sum of the test to maxKindScore at
-// most. The limit does not hold if the runs of the other kinds speak against the worker too, if none of them was done within doneTime, and after
-// kindTime.
+// Rule: while only runs of one kind are overdue and runs of other kinds are done, the overdue runs raise the score to maxSingleKindScore at
+// most. The limit does not apply if runs of the other kinds are evidence against the worker too, if none of them was done within
+// recentlyDoneTime, or after maxSingleKindTime.
 //
-// Reason: a kind that takes longer from one moment on makes each worker look ill until entries have seen its runs end on others and tell of
-// it. A worker that is slow or hangs is so for all kinds.
+// Reason: when a kind starts to take longer, every worker appears faulty until the entries have seen runs of the kind end on other workers and
+// report its failure rate. A worker that is slow or hangs affects all kinds.
 
 const (
-	// maxKindScore is the sum up to which overdue runs of one kind count: two of them count in full, and a third in part.
-	maxKindScore = 4
-	// minOtherScore is the sum of the test over the runs of the other kinds from which these speak against the worker too: that of an overdue
+	// maxSingleKindScore is the score up to which overdue runs of a single kind count: two of them count in full, and a third in part.
+	maxSingleKindScore = 4
+	// minOtherScore is the sum over the runs of the other kinds from which they are evidence against the worker too. It is that of one overdue
 	// run and two that are done.
 	minOtherScore = 1
-	// doneTime is how long ago a run of another kind was done at most that shows that the worker is well.
-	doneTime = time.Second
-	// kindTime is how long only one kind may be overdue. After that entries have seen whether it is so on other workers.
-	kindTime = 3 * time.Second
+	// recentlyDoneTime is the maximum age of a completed run of another kind that counts as evidence of a healthy worker.
+	recentlyDoneTime = time.Second
+	// maxSingleKindTime is how long the limit applies to a kind. By then entries have seen whether the kind is overdue on other workers too.
+	maxSingleKindTime = 3 * time.Second
 )
 
-// kinds is what the runs of each kind show. The zero value has seen none.
-type kinds struct {
-	// sum is that of the test over all runs since the worker was last put in service.
+// kindEvidence holds the evidence from the runs of each kind. The zero value is empty.
+type kindEvidence struct {
+	// sum is the cumulative sum over all runs since the worker last returned to service.
 	sum float64
-	// overdue are the kinds of which runs were overdue since the sum was zero, by their names.
+	// overdue holds the kinds with overdue runs since the sum was last zero, by name.
 	overdue map[string]*overdueKind
-	// doneKind is the kind of the run that was done last, at doneAt. otherDoneAt is when a run of any other kind was done last.
+	// doneKind is the kind of the latest completed run, doneAt its time. otherDoneAt is the time of the latest completed run of any other kind.
 	doneKind            string
 	doneAt, otherDoneAt time.Time
 }
 
-// overdueKind is a kind of which runs are overdue.
+// overdueKind is a kind with overdue runs.
 type overdueKind struct {
-	// since is when the first of them was found.
+	// since is when the first overdue run was found.
 	since time.Time
-	// others is the sum of the test over the runs of all other kinds.
-	others float64
+	// otherKinds is the cumulative sum over the runs of all other kinds.
+	otherKinds float64
 }
 
-// limit returns how much of the evidence of a run counts if the sum of the test has some value.
-func (k *kinds) limit(now time.Time, run Run, evidence, score float64) float64 {
-	if run.End != EndOverdue || !k.isKindAlone(now, run.Kind) {
+// limit returns how much of the evidence of a run is added to the given score.
+func (k *kindEvidence) limit(now time.Time, run Run, evidence, score float64) float64 {
+	if run.End != EndOverdue || !k.isOnlySuspectKind(now, run.Kind) {
 		return evidence
 	}
-	return min(evidence, max(maxKindScore-score, 0))
+	return min(evidence, max(maxSingleKindScore-score, 0))
 }
 
-// add applies a run with the evidence that counts.
-func (k *kinds) add(now time.Time, run Run, evidence float64) {
+// add records a run with its evidence, as limited by limit.
+func (k *kindEvidence) add(now time.Time, run Run, evidence float64) {
 	before := k.sum
 	k.sum = max(k.sum+evidence, 0)
-	k.addToOthers(run.Kind, evidence)
+	k.addToOtherKinds(run.Kind, evidence)
 	switch {
 	case run.End == EndDone:
-		k.noteDone(now, run.Kind)
+		k.recordDone(now, run.Kind)
 	case run.End == EndOverdue && k.overdue[run.Kind] == nil:
-		k.noteOverdue(now, run.Kind, before)
+		k.recordOverdue(now, run.Kind, before)
 	}
 	if k.sum == 0 {
 		k.overdue = nil
 	}
 }
 
-// addToOthers adds the evidence of a run of a kind to what the other overdue kinds know of the kinds beside them.
-func (k *kinds) addToOthers(kind string, evidence float64) {
+// addToOtherKinds adds the evidence of a run to the sums of all overdue kinds except the kind of the run.
+func (k *kindEvidence) addToOtherKinds(kind string, evidence float64) {
 	for name, other := range k.overdue {
 		if name != kind {
-			other.others = max(other.others+evidence, 0)
+			other.otherKinds = max(other.otherKinds+evidence, 0)
 		}
 	}
 }
 
-// noteDone notes a run that was done.
-func (k *kinds) noteDone(now time.Time, kind string) {
+// recordDone records the time of a completed run.
+func (k *kindEvidence) recordDone(now time.Time, kind string) {
 	if kind != k.doneKind {
 		k.doneKind, k.otherDoneAt = kind, k.doneAt
 	}
 	k.doneAt = now
 }
 
-// noteOverdue notes the first run of a kind that is overdue. What the sum was before is due to other kinds, or to failed runs.
-func (k *kinds) noteOverdue(now time.Time, kind string, before float64) {
+// recordOverdue records the first overdue run of a kind. before is the sum before this run, which stems from other kinds or from failed runs.
+func (k *kindEvidence) recordOverdue(now time.Time, kind string, before float64) {
 	if k.overdue == nil {
 		k.overdue = make(map[string]*overdueKind)
 	}
-	k.overdue[kind] = &overdueKind{since: now, others: before}
+	k.overdue[kind] = &overdueKind{since: now, otherKinds: before}
 }
 
-// isKindAlone reports whether only runs of a kind speak against the worker, and runs of others are done.
-func (k *kinds) isKindAlone(now time.Time, kind string) bool {
-	if !k.hasDoneOther(now, kind) {
+// isOnlySuspectKind reports whether only runs of the given kind are evidence against the worker while runs of other kinds are done.
+func (k *kindEvidence) isOnlySuspectKind(now time.Time, kind string) bool {
+	if !k.hasRecentlyDoneOther(now, kind) {
 		return false
 	}
 	known := k.overdue[kind]
 	if known == nil {
 		return k.sum < minOtherScore
 	}
-	return known.others < minOtherScore && now.Sub(known.since) < kindTime
+	return known.otherKinds < minOtherScore && now.Sub(known.since) < maxSingleKindTime
 }
 
-// hasDoneOther reports whether a run of another kind was done lately.
-func (k *kinds) hasDoneOther(now time.Time, kind string) bool {
+// hasRecentlyDoneOther reports whether a run of another kind was completed within recentlyDoneTime.
+func (k *kindEvidence) hasRecentlyDoneOther(now time.Time, kind string) bool {
 	at := k.doneAt
 	if kind == k.doneKind {
 		at = k.otherDoneAt
 	}
-	return !at.IsZero() && now.Sub(at) <= doneTime
+	return !at.IsZero() && now.Sub(at) <= recentlyDoneTime
 }
 
-// restored forgets what spoke against the worker.
-func (k *kinds) restored() { k.sum, k.overdue = 0, nil }
+// reset discards the evidence against the worker.
+func (k *kindEvidence) reset() { k.sum, k.overdue = 0, nil }
--- a/internal/ejection/outcomes.go
+++ b/internal/ejection/outcomes.go
@@ -6,23 +6,24 @@
 import "slices"
 
 const (
-	// maxOutcomes is how many workers are remembered: enough that a quarter of them that fail stands out.
+	// maxOutcomes is the number of workers whose outcomes are kept. It is large enough to detect that a quarter of them fail.
 	maxOutcomes = 24
-	// minOutcomes is how many workers that are not ejected show how a kind does. With fewer, those that are ejected count too.
+	// minOutcomes is the number of workers in service that suffice for a failure rate. With fewer, ejected workers are included.
 	minOutcomes = 4
 )
 
-// outcome is how the latest run of a kind on a worker ended.
+// outcome is the outcome of the latest run of a kind on a worker.
 type outcome struct {
 	worker    string
 	hasFailed bool
 }
 
-// Outcomes are how the latest runs of one kind ended on the workers that ran it last, one run each. A worker that fails its runs at once has far
-// more of them than others, and would make its own failures look like those of the kind. The nil value knows of none.
+// Outcomes holds the outcomes of one kind, one for the latest run on each of the workers that ran it last. Only one run per worker counts
+// because a worker that fails its runs immediately runs far more of them than others, so that its failures would look like those of the kind.
+// The nil value is empty.
 type Outcomes []outcome
 
-// WithRun returns the outcomes with another run. The receiver must not be used any more.
+// WithRun returns the outcomes with another run added. The receiver must not be used afterwards.
 func (o Outcomes) WithRun(worker string, hasFailed bool) Outcomes {
 	at := slices.IndexFunc(o, func(known outcome) bool { return known.worker == worker })
 	switch {
@@ -34,10 +35,10 @@
 	return append(o, outcome{worker: worker, hasFailed: hasFailed})
 }
 
-// FailureRate returns the share of the outcomes, 0 to 1, that failed on other workers than the given one. Those for which isEjected returns true
-// count only if there are few others.
+// FailureRate returns the failure rate, 0 to 1, on all workers except the given one. Ejected workers count only if there are fewer than
+// minOutcomes others.
 func (o Outcomes) FailureRate(worker string, isEjected func(worker string) bool) float64 {
-	var inService, ejected tally
+	var inService, ejected outcomeCount
 	for _, known := range o {
 		switch {
 		case known.worker == worker:
@@ -53,10 +54,10 @@
 	return inService.rate()
 }
 
-// tally counts outcomes.
-type tally struct{ all, failed int }
+// outcomeCount counts all and failed outcomes.
+type outcomeCount struct{ all, failed int }
 
-func (t tally) with(o outcome) tally {
+func (t outcomeCount) with(o outcome) outcomeCount {
 	t.all++
 	if o.hasFailed {
 		t.failed++
@@ -64,11 +65,11 @@
 	return t
 }
 
-func (t tally) plus(other tally) tally {
-	return tally{all: t.all + other.all, failed: t.failed + other.failed}
+func (t outcomeCount) plus(other outcomeCount) outcomeCount {
+	return outcomeCount{all: t.all + other.all, failed: t.failed + other.failed}
 }
 
-func (t tally) rate() float64 {
+func (t outcomeCount) rate() float64 {
 	if t.all == 0 {
 		return 0
 	}
