--- a/internal/ejection/ejection_test.go
+++ b/internal/ejection/ejection_test.go
@@ -235,9 +235,9 @@
 	for i := 1; i <= 8; i++ {
 		o = o.WithRun(name(i), i > 6)
 	}
-	isAnyOf := func(names ...string) func(string) bool {
+	isAnyOf := func(workers ...string) func(string) bool {
 		return func(worker string) bool {
-			for _, other := range names {
+			for _, other := range workers {
 				if worker == other {
 					return true
 				}
@@ -246,10 +246,10 @@
 		}
 	}
 	for _, c := range []struct {
-		name      string
-		worker    string
-		isEjected func(string) bool
-		want      float64
+		description string
+		worker      string
+		isEjected   func(string) bool
+		want        float64
 	}{
 		{"all other workers", name(1), isAnyOf(), 3.0 / 8},
 		{"own runs excluded", name(0), isAnyOf(), 2.0 / 8},
@@ -257,7 +257,7 @@
 		{"ejected workers included if there are few others", name(1), isAnyOf(name(0), name(2), name(3), name(4), name(5), name(6)), 3.0 / 8},
 	} {
 		if got := o.FailureRate(c.worker, c.isEjected); got != c.want {
-			t.Errorf("%s: got failure rate %.3f, want %.3f", c.name, got, c.want)
+			t.Errorf("%s: got failure rate %.3f, want %.3f", c.description, got, c.want)
 		}
 	}
 	for i := range 100 {
--- a/internal/shares/account.go
+++ b/internal/shares/account.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// recentTime is how long it takes until work that a competitor was given counts only 1/e in its recent use.
+	// recentTime is the time constant of the recent usage, after which charged work counts only 1/e.
 	recentTime = time.Second
-	// usualTime is the same for its usual use. A burst of some seconds changes that little.
+	// usualTime is the time constant of the usual usage. A burst of some seconds has little effect on it.
 	usualTime = 30 * time.Second
-	// creditTime bounds what a competitor that asks for less than its share can save: what it usually gets in that time.
+	// creditTime limits the credit of a competitor that uses less than its share to its usual usage in that time.
 	creditTime = 250 * time.Millisecond
-	// milliCores is the number of thousandths of a core in one core.
+	// milliCores is the number of millicores in a core.
 	milliCores = 1000
 )
 
-// Competitor is who competes with others for a worker: the jobs of a kind that come through the entries of an availability zone. Zone and kind are
-// empty if they are not known.
+// Competitor identifies a competitor for a worker: the jobs of one kind that arrive through the entries of one availability zone. Zone and kind
+// are empty if unknown.
 type Competitor struct {
 	Zone string
 	Kind string
@@ -29,39 +29,39 @@
 // Work is an amount of work in core-seconds.
 type Work float64
 
-// NewWork returns the work of a task that needs CPU, in thousandths of a core, for some time.
+// NewWork returns the work of a task that uses the given CPU, in thousandths of a core, for the given time.
 func NewWork(cpu int, length time.Duration) Work {
 	return Work(float64(cpu) / milliCores * length.Seconds())
 }
 
-// Accounts holds the accounts of the competitors for one worker. The zero value is not usable; see NewAccounts.
+// Accounts holds the usage accounts of the competitors for one worker. The zero value is not usable; see NewAccounts.
 type Accounts struct {
 	accounts register[Competitor, *account]
 }
 
-// account is what a competitor was given.
+// account tracks the usage of a competitor.
 type account struct {
-	// recent and usual are sums of work that decay, with recentTime and usualTime, up to updated.
+	// recent and usual are sums of charged work that decay exponentially with recentTime and usualTime, as of updated.
 	recent  Work
 	usual   Work
 	updated time.Time
-	// opened is when the account was opened.
+	// opened is when the account was created.
 	opened time.Time
-	// debt is the work that it was given beyond its share, negative if it was given less; see debtAt.
+	// debt is the charged work in excess of the share, as of updated. It is negative if less was charged; see debtAt.
 	debt Work
-	// share is what it may use, and credit what it can save, in cores and core-seconds, as divided last.
+	// share is the fair share in cores, and credit the maximum credit in core-seconds, as of the last division.
 	share  float64
 	credit Work
-	// weight is that of the settings.
+	// weight is the weight from the settings.
 	weight float64
 }
 
-// NewAccounts returns accounts without competitors.
+// NewAccounts returns an Accounts without competitors.
 func NewAccounts() *Accounts {
 	return &Accounts{accounts: newRegister[Competitor, *account]()}
 }
 
-// Charge adds work that a competitor was given, or takes it back if it is negative. The weight is that of the settings, zero for 1.
+// Charge charges a competitor for work, or refunds it if the work is negative. weight is the weight from the settings; zero means 1.
 func (a *Accounts) Charge(now time.Time, c Competitor, weight float64, work Work) {
 	each := a.account(now, c)
 	each.update(now)
@@ -74,18 +74,18 @@
 	}
 }
 
-// IsBelow reports whether a competitor was given its share or less: it has no debt.
+// IsBelow reports whether a competitor has used no more than its share, that is, it has no debt.
 func (a *Accounts) IsBelow(now time.Time, c Competitor) bool {
-	each, ok := a.accounts.entries[c]
+	each, ok := a.accounts.users[c]
 	return !ok || each.debtAt(now) <= 0
 }
 
-// account returns the account of a competitor. It opens one if there is none, and keeps it unless there are too many.
+// account returns the account of a competitor and creates it if necessary. A new account is not kept if there are too many.
 func (a *Accounts) account(now time.Time, c Competitor) *account {
 	return a.accounts.get(now, c, func() *account { return &account{opened: now, updated: now, weight: 1} })
 }
 
-// update brings the sums up to now.
+// update decays the sums and reduces the debt up to now.
 func (a *account) update(now time.Time) {
 	elapsed := now.Sub(a.updated)
 	if elapsed <= 0 {
@@ -97,21 +97,21 @@
 	a.updated = now
 }
 
-// debtAt returns what the debt is at a time if nothing is charged until then. It falls by the share, down to the credit.
+// debtAt returns the debt at a time if nothing is charged until then. It decreases at the rate of the share, down to the negated credit.
 func (a *account) debtAt(now time.Time) Work {
-	fallen := Work(a.share * now.Sub(a.updated).Seconds())
-	return max(a.debt-fallen, -a.credit)
+	repaid := Work(a.share * now.Sub(a.updated).Seconds())
+	return max(a.debt-repaid, -a.credit)
 }
 
-// recentUse returns the cores that the competitor was given on average lately.
+// recentUse returns the average recent usage in cores.
 func (a *account) recentUse() float64 {
 	return float64(a.recent) / recentTime.Seconds()
 }
 
-// usualWork returns the sum of which the usual use is made.
+// usualWork implements user.
 func (a *account) usualWork() Work { return a.usual }
 
-// decay returns the part, 0 to 1, that is left of a sum after a time.
-func decay(elapsed, toOneOverE time.Duration) Work {
-	return Work(math.Exp(-float64(elapsed) / float64(toOneOverE)))
+// decay returns the factor, 0 to 1, by which a sum with the given time constant decays.
+func decay(elapsed, timeConstant time.Duration) Work {
+	return Work(math.Exp(-float64(elapsed) / float64(timeConstant)))
 }
--- a/internal/shares/divide.go
+++ b/internal/shares/divide.go
@@ -9,36 +9,37 @@
 	"time"
 )
 
-// learnTime is how long it takes until a competitor that is new is weighed by what it usually uses, and by an equal share for 1/e only.
+// learnTime is the time constant with which the weight of a new competitor changes from an equal share to its usual usage.
 const learnTime = time.Second
 
-// leastShare is the part of an equal share that a competitor weighs at least, however little it usually uses: a kind or an availability
-// zone that is new gets work too.
-const leastShare = 0.25
+// minWeightShare is the minimum weight of a competitor as a fraction of an equal share, so that a new kind or availability zone gets work
+// however little it has used so far.
+const minWeightShare = 0.25
 
-// Share is what a competitor uses and may use of a worker, in cores.
+// Share describes the usage of a worker by a competitor and its fair share, in cores.
 type Share struct {
 	Competitor Competitor
-	// Recent is what it was given lately, and Usual what it usually gets.
+	// Recent is the recent usage, Usual the usual usage.
 	Recent float64
 	Usual  float64
-	// Entitled is what it may use while others wait.
+	// Entitled is how much it may use while others wait.
 	Entitled float64
-	// IsWaiting is set if it waits for room.
+	// IsWaiting is true if it has tasks waiting for capacity.
 	IsWaiting bool
 }
 
-// Divide divides a worker between its competitors, until it is divided again. One without CPU is left as it was divided before.
+// Divide computes the fair shares of all competitors, which apply until the next call. For a worker without CPU it leaves the previous shares
+// unchanged.
 //
-// Inputs: the cores of the worker, the competitors that wait for room on it, what each was given lately and usually gets, the weights of the
-// settings.
+// Inputs: the cores of the worker, the competitors that wait for capacity, the recent and usual usage of each competitor, and the weights from
+// the settings.
 //
-// Rule: weighted max-min fairness. Who waits asks for any amount, the others for what they use or usually use. A competitor weighs what it
-// usually gets, leastShare of an equal share at least, times the weight of the settings. What one does not ask for is divided between the
-// others.
+// Rule: weighted max-min fairness. The demand of a waiting competitor is unbounded; that of any other is its recent or usual usage, whichever
+// is larger. The weight of a competitor is its usual usage, at least minWeightShare of an equal share, times the weight from the settings. What
+// a competitor does not demand is divided between the others.
 //
-// Reason: a competitor that goes on as usual gets all that it asks for, whatever others do, and those that ask for more than usual divide the
-// rest. With equal weights a burst of a kind that is small otherwise would take from a kind that is large.
+// Reason: a competitor with its usual usage gets all it demands, whatever others do, and those with more than their usual usage divide the
+// rest. With equal weights, a burst of a kind with usually little usage would take capacity from a kind with much.
 func (a *Accounts) Divide(now time.Time, cores float64, waiting []Competitor) []Share {
 	if cores <= 0 {
 		return nil
@@ -47,38 +48,39 @@
 		a.account(now, c)
 	}
 	demands := a.demands(now, cores, waiting)
-	weigh(now, cores, demands)
+	setWeights(now, cores, demands)
 	slices.SortFunc(demands, compareDemands)
 	weights := sumOfWeights(demands)
 	shares := make([]Share, 0, len(demands))
 	left, leftWeights := cores, weights
 	for _, d := range demands {
 		entitled := left * d.weight / leftWeights
-		if !d.isOpen {
-			entitled = min(entitled, d.asked())
+		if !d.isUnbounded {
+			entitled = min(entitled, d.requested())
 		}
 		left -= entitled
 		leftWeights -= d.weight
-		// Who does not wait now may ask for as much as its weight is worth.
+		// A competitor that does not wait now is still entitled to the share of its weight if it needs more later.
 		d.account.share = max(entitled, cores*d.weight/weights)
 		d.account.credit = Work(d.usual * creditTime.Seconds())
 		shares = append(shares, Share{
-			Competitor: d.competitor, Recent: d.account.recentUse(), Usual: d.usual, Entitled: d.account.share, IsWaiting: d.isOpen,
+			Competitor: d.competitor, Recent: d.account.recentUse(), Usual: d.usual, Entitled: d.account.share, IsWaiting: d.isUnbounded,
 		})
 	}
 	return shares
 }
 
-// weigh sets the weights of the demands for a worker.
-func weigh(now time.Time, cores float64, demands []demand) {
+// setWeights sets the weights of the demands for a worker.
+func setWeights(now time.Time, cores float64, demands []demand) {
 	equal := cores / float64(max(len(demands), 1))
 	for i := range demands {
 		d := &demands[i]
-		d.weight = d.account.weight * max(d.account.weighedUse(now, d.usual, equal), leastShare*equal)
+		d.weight = d.account.weight * max(d.account.weightedUse(now, d.usual, equal), minWeightShare*equal)
 	}
 }
 
-// sumOfWeights returns the sum of the weights of demands. Their order has to be the same each time, as this is a sum of fractions.
+// sumOfWeights returns the sum of the weights. The demands must be sorted, as floating-point addition is not associative and the result would
+// otherwise depend on their order.
 func sumOfWeights(demands []demand) float64 {
 	sum := 0.0
 	for _, d := range demands {
@@ -87,52 +89,53 @@
 	return sum
 }
 
-// weighedUse returns the use, in cores, by which a competitor is weighed: an equal share at first, and its usual use once it is known for long.
-func (a *account) weighedUse(now time.Time, usual, equal float64) float64 {
-	doubt := float64(decay(now.Sub(a.opened), learnTime))
-	return doubt*equal + (1-doubt)*usual
+// weightedUse returns the usage, in cores, on which the weight of a competitor is based: an equal share when its account is new, which changes
+// to its usual usage with learnTime.
+func (a *account) weightedUse(now time.Time, usual, equal float64) float64 {
+	uncertainty := float64(decay(now.Sub(a.opened), learnTime))
+	return uncertainty*equal + (1-uncertainty)*usual
 }
 
-// demand is what a competitor asks for.
+// demand is the demand of a competitor.
 type demand struct {
 	competitor Competitor
 	account    *account
-	// isOpen is set if it asks for any amount.
-	isOpen bool
-	// usual is its usual use in cores.
+	// isUnbounded is true if the competitor is waiting for capacity.
+	isUnbounded bool
+	// usual is its usual usage in cores.
 	usual  float64
 	weight float64
 }
 
-// demands returns the demands of all competitors for a worker. Usual use is no more than the worker has, as a long task that has just begun is
-// charged for all of its time.
+// demands returns the demands of all competitors for a worker. The usual usage is capped at the cores of the worker, as a long task is charged
+// for its whole run time when it starts.
 func (a *Accounts) demands(now time.Time, cores float64, waiting []Competitor) []demand {
-	demands := make([]demand, 0, len(a.accounts.entries))
-	for c, each := range a.accounts.entries {
+	demands := make([]demand, 0, len(a.accounts.users))
+	for c, each := range a.accounts.users {
 		each.update(now)
 		usual := min(a.accounts.usualUse(now, each), cores)
-		demands = append(demands, demand{competitor: c, account: each, isOpen: slices.Contains(waiting, c), usual: usual})
+		demands = append(demands, demand{competitor: c, account: each, isUnbounded: slices.Contains(waiting, c), usual: usual})
 	}
 	return demands
 }
 
-// asked returns how many cores the competitor asks for, unless the demand is open.
-func (d demand) asked() float64 {
+// requested returns how many cores the competitor demands, unless the demand is unbounded.
+func (d demand) requested() float64 {
 	return max(d.account.recentUse(), d.usual)
 }
 
-// compareDemands orders demands by what they ask for in relation to their weight, the open ones last. Equal ones are in the order of their names,
-// so that the result does not depend on the order of a map.
+// compareDemands orders demands by requested cores relative to their weight, unbounded ones last. Equal demands are ordered by name, so that the
+// result does not depend on map iteration order.
 func compareDemands(a, b demand) int {
 	byName := cmp.Or(cmp.Compare(a.competitor.Zone, b.competitor.Zone), cmp.Compare(a.competitor.Kind, b.competitor.Kind))
 	switch {
-	case a.isOpen && b.isOpen:
+	case a.isUnbounded && b.isUnbounded:
 		return byName
-	case a.isOpen:
+	case a.isUnbounded:
 		return 1
-	case b.isOpen:
+	case b.isUnbounded:
 		return -1
 	default:
-		return cmp.Or(cmp.Compare(a.asked()/a.weight, b.asked()/b.weight), byName)
+		return cmp.Or(cmp.Compare(a.requested()/a.weight, b.requested()/b.weight), byName)
 	}
 }
--- a/internal/shares/doc.go
+++ b/internal/shares/doc.go
@@ -1,9 +1,9 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package shares keeps account of who uses a worker, and decides who comes first while demand exceeds what is free.
+// Package shares tracks the usage of a worker and computes fair shares of it while demand exceeds free capacity.
 //
-// Competitors are the kinds of jobs, in each availability zone. Accounts holds what each of them was given lately and what it usually gets, and
-// Accounts.Divide divides the worker between them. Kinds.Headroom is what long tasks leave free for kinds of shorter ones. All of it is pure: time
-// is an argument, and nothing here knows of sessions or reservations.
+// The competitors for a worker are the kinds of jobs, separately for each availability zone. Accounts holds the recent and the usual usage of
+// each competitor, and Accounts.Divide divides the worker between them. Kinds.Headroom computes the capacity that long tasks leave free for
+// kinds of shorter ones. The package has no side effects: time is an argument, and it does not depend on sessions or reservations.
 package shares
--- a/internal/shares/headroom.go
+++ b/internal/shares/headroom.go
@@ -10,51 +10,52 @@
 )
 
 const (
-	// shorterBy is by how many times a task must take longer than those of a kind to leave room for them.
-	shorterBy = 2
-	// wholeTask is the part of the mean need of a kind from which on room is kept for a task of it: many need less than the mean.
-	wholeTask = 0.8
-	// absentTime is how long no task of a kind asks for room before none is kept for it, and absentTasks the same in times of its tasks, if that is
-	// longer: of a kind that uses a core all the time one comes in each.
+	// minLengthRatio is the ratio of run times from which a longer task leaves capacity free for those of a shorter kind.
+	minLengthRatio = 2
+	// minTaskFraction is the fraction of the mean need of a kind from which capacity is reserved for a task, as many tasks need less than the
+	// mean.
+	minTaskFraction = 0.8
+	// absentTime is the time without a new task after which no capacity is reserved for a kind. absentTasks is the same as a multiple of the
+	// run time of its tasks, which applies if it is longer: a kind that continuously uses one core starts one task per run time.
 	absentTime  = time.Second
 	absentTasks = 5
-	// taskWeight is the weight of one task in the averages of its kind.
+	// taskWeight is the weight of a single task in the moving averages of its kind.
 	taskWeight = 0.05
 )
 
-// Bound is the room that tasks which take longer than a time leave free for shorter ones.
+// Bound is the capacity that tasks with a run time above a threshold leave free for shorter ones.
 type Bound struct {
 	LongerThan time.Duration
 	// CPU is in thousandths of a core.
 	CPU int
 }
 
-// Kinds holds what is known of the kinds of jobs that use a worker. The zero value is not usable; see NewKinds.
+// Kinds holds usage statistics of the kinds of jobs that use a worker. The zero value is not usable; see NewKinds.
 type Kinds struct {
 	kinds register[string, *kind]
 }
 
-// kind is what is known of one kind of job.
+// kind holds the statistics of one kind of job.
 type kind struct {
 	name string
-	// length is the average estimated time of its tasks, slack how long they can wait, and need the CPU that they need in thousandths of a
-	// core. All are zero before the first task.
+	// length, slack and need are moving averages over its tasks: the estimated run time, how long a task can wait, and the CPU it needs in
+	// thousandths of a core. All are zero before the first task.
 	length time.Duration
 	slack  time.Duration
 	need   float64
-	// arrived is when a task asked for room last.
+	// arrived is when a task last requested capacity.
 	arrived time.Time
-	// given is the work that it was given, which decays with usualTime, up to updated.
-	given   Work
+	// charged is the charged work, which decays exponentially with usualTime, as of updated.
+	charged Work
 	updated time.Time
 }
 
-// NewKinds returns what is known before the first task.
+// NewKinds returns a Kinds without statistics.
 func NewKinds() *Kinds {
 	return &Kinds{kinds: newRegister[string, *kind]()}
 }
 
-// Arrived notes a task that asks for room: the CPU that it needs in thousandths of a core, its estimated time and how long it can wait.
+// Arrived records a task that requests capacity: the CPU it needs in thousandths of a core, its estimated run time and how long it can wait.
 func (k *Kinds) Arrived(now time.Time, name string, cpu int, length, slack time.Duration) {
 	each := k.kind(now, name)
 	each.arrived = now
@@ -69,58 +70,59 @@
 	}
 }
 
-// Charge adds work that a kind was given, or takes it back if it is negative.
+// Charge charges a kind for work, or refunds it if the work is negative.
 func (k *Kinds) Charge(now time.Time, name string, work Work) {
 	each := k.kind(now, name)
-	each.given = max(each.given+work, 0)
+	each.charged = max(each.charged+work, 0)
 }
 
-// kind returns what is known of a kind, which it keeps unless there are too many.
+// kind returns the up-to-date statistics of a kind and creates them if necessary. New ones are not kept if there are too many.
 func (k *Kinds) kind(now time.Time, name string) *kind {
 	each := k.kinds.get(now, name, func() *kind { return &kind{name: name, updated: now} })
 	each.update(now)
 	return each
 }
 
-// update brings the sum up to now.
+// update decays the charged work up to now.
 func (k *kind) update(now time.Time) {
 	if elapsed := now.Sub(k.updated); elapsed > 0 {
-		k.given *= decay(elapsed, usualTime)
+		k.charged *= decay(elapsed, usualTime)
 		k.updated = now
 	}
 }
 
-// usualWork returns the sum of which the usual use is made.
-func (k *kind) usualWork() Work { return k.given }
+// usualWork implements user.
+func (k *kind) usualWork() Work { return k.charged }
 
-// Headroom returns what tasks leave free for shorter ones, in the order of Bound.LongerThan. inUse is the CPU that tasks of each kind use now,
-// in thousandths of a core.
+// Headroom returns the capacity that tasks leave free for shorter ones, ordered by Bound.LongerThan. inUse is the CPU currently used by the
+// tasks of each kind, in thousandths of a core.
 //
-// Inputs: for each kind how long its tasks take and can wait, what they need, what it usually uses of the worker and uses now.
+// Inputs: for each kind the run time of its tasks, how long they can wait, what they need, and its usual and current usage of the worker.
 //
-// Rule: a task leaves room for the kinds whose tasks take half as long as it does or less, and cannot wait until it ends: what they usually use
-// and do not use now, in whole tasks. A kind that is absent (absentTime) is left none.
+// Rule: a task leaves capacity free for the kinds whose tasks take at most half as long and cannot wait until it ends: their usual usage minus
+// the current one, in whole tasks. Nothing is left for an absent kind (absentTime).
 //
-// Reason: room that is taken by a long task is gone for all of that time. A kind that can wait as long gets it by its share instead. Less
-// room than for a task would stay unused, as does room for a kind that may not run here any more or has no callers.
+// Reason: capacity occupied by a long task is unavailable for its whole run time. A kind that can wait that long gets capacity through its
+// share instead. Capacity for less than a whole task would remain unused, and so would capacity for a kind that may no longer run here or has
+// no callers.
 func (k *Kinds) Headroom(now time.Time, inUse map[string]int) []Bound {
 	var bounds []Bound
-	left := 0
+	total := 0
 	for _, each := range k.byLength() {
 		each.update(now)
 		usual := k.kinds.usualUse(now, each) * milliCores
-		if room := each.wholeTasks(usual - float64(inUse[each.name])); room > 0 && !each.isAbsent(now) {
-			left += room
-			bounds = append(bounds, Bound{LongerThan: each.longerThan(), CPU: left})
+		if reserved := each.wholeTasks(usual - float64(inUse[each.name])); reserved > 0 && !each.isAbsent(now) {
+			total += reserved
+			bounds = append(bounds, Bound{LongerThan: each.longerThan(), CPU: total})
 		}
 	}
 	return bounds
 }
 
-// byLength returns the kinds of which tasks were noted, in the order of longerThan.
+// byLength returns the kinds that have had a task, ordered by longerThan.
 func (k *Kinds) byLength() []*kind {
-	known := make([]*kind, 0, len(k.kinds.entries))
-	for _, each := range k.kinds.entries {
+	known := make([]*kind, 0, len(k.kinds.users))
+	for _, each := range k.kinds.users {
 		if each.length > 0 {
 			known = append(known, each)
 		}
@@ -131,29 +133,29 @@
 	return known
 }
 
-// isAbsent reports whether no task of the kind has asked for room for so long that none is expected.
+// isAbsent reports whether no task of the kind has requested capacity for so long that none is expected.
 func (k *kind) isAbsent(now time.Time) bool {
 	return now.Sub(k.arrived) > max(absentTime, absentTasks*k.length)
 }
 
-// longerThan returns from which time on tasks leave room for those of the kind.
+// longerThan returns the run time above which tasks leave capacity free for those of the kind.
 func (k *kind) longerThan() time.Duration {
-	return max(shorterBy*k.length, k.slack)
+	return max(minLengthRatio*k.length, k.slack)
 }
 
-// wholeTasks returns the CPU of as many tasks of the kind as CPU suffices for, both in thousandths of a core.
+// wholeTasks rounds an amount of CPU to that of whole tasks of the kind, both in thousandths of a core. See minTaskFraction.
 func (k *kind) wholeTasks(cpu float64) int {
-	tasks := int(cpu/k.need + 1 - wholeTask)
+	tasks := int(cpu/k.need + 1 - minTaskFraction)
 	return max(tasks, 0) * int(k.need)
 }
 
-// HeadroomCPU returns the CPU that a task of an estimated time leaves free, in thousandths of a core.
+// HeadroomCPU returns the CPU that a task of the given estimated run time leaves free, in thousandths of a core.
 func HeadroomCPU(bounds []Bound, length time.Duration) int {
-	left := 0
+	headroom := 0
 	for _, b := range bounds {
 		if length > b.LongerThan {
-			left = b.CPU
+			headroom = b.CPU
 		}
 	}
-	return left
+	return headroom
 }
