--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -23,20 +23,20 @@
 	// MinAgents is the minimum size of a subset, if there are that many agents. It provides capacity for jobs of many tasks: the larger the
 	// subset, the less often all of its agents are full while others have capacity.
 	MinAgents = 48
-	// MinSessions is the minimum mean number of subsets per agent. It limits how many agents are in no subset at all where there are few
+	// MinSubsetsPerAgent is the minimum mean number of subsets per agent. It limits how many agents are in no subset at all where there are few
 	// entries and many agents: with a mean of 8, it is one agent in 3,000.
-	MinSessions = 8
+	MinSubsetsPerAgent = 8
 )
 
 // Size returns the number of agents with which an entry keeps sessions.
 //
 // Inputs: the number of registered agents and the number of entries, including this one.
 //
-// Rule: MinAgents, or as many as are needed for a mean of MinSessions subsets per agent; all agents if there are fewer.
+// Rule: MinAgents, or as many as are needed to reach MinSubsetsPerAgent; all agents if there are fewer.
 //
 // Reason: the cost for an entry then depends on its own traffic, which follows the number of entries, and not on the size of the site.
 func Size(agents, entries int) int {
-	share := (MinSessions*agents + entries - 1) / max(entries, 1)
+	share := (MinSubsetsPerAgent*agents + entries - 1) / max(entries, 1)
 	return min(agents, max(MinAgents, share))
 }
 
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -92,16 +92,16 @@
 	StoreWatchTimeout = 1500 * time.Millisecond
 	// StoreCallTimeout is the time-out of a call to the store; for a watch it is added to StoreWatchTimeout. The store answers within 4 ms.
 	StoreCallTimeout = 700 * time.Millisecond
-	// StoreRetryDelay is the delay before the retry of a call that the store did not answer. While the store is down, 83 entries and agents
+	// StoreRetryDelay is the delay before the retry of a call that the store did not answer. While it does not answer, 83 entries and agents
 	// make 415 calls a second, of the 7,200 that their store can take. The delay also leaves time for several attempts within
-	// EvacuationTime.
+	// EvacuationDeadline.
 	StoreRetryDelay = 200 * time.Millisecond
 	// MinStoreWatchPause is the minimum delay between the answer to a watch that returned member changes and the next watch, so that changes
-	// in quick succession are batched. As each change is sent to every entry, the delay grows by StoreWatchShare per entry, up to
+	// in quick succession are batched. As each change is sent to every entry, the delay grows by StoreWatchPausePerEntry up to
 	// MaxStoreWatchPause. With up to 160 entries all of them together then make 200 watch calls a second, however many members change.
-	MinStoreWatchPause = 200 * time.Millisecond
-	MaxStoreWatchPause = 800 * time.Millisecond
-	StoreWatchShare    = 5 * time.Millisecond
+	MinStoreWatchPause      = 200 * time.Millisecond
+	MaxStoreWatchPause      = 800 * time.Millisecond
+	StoreWatchPausePerEntry = 5 * time.Millisecond
 	// StoreUpdateLifetime is how long after the store's last answer an entry treats the data as current. It is longer than a watch may
 	// take.
 	StoreUpdateLifetime = 2500 * time.Millisecond
@@ -115,9 +115,9 @@
 	ExchangeInterval = 450 * time.Millisecond
 	// PeerCallTimeout is the time-out of a call to another entry: 100 round trips between availability zones.
 	PeerCallTimeout = 400 * time.Millisecond
-	// EvacuationTime is the time after the acknowledgement of a zone's evacuation from which no task may start there. Source: evac_ms, 5,000
+	// EvacuationDeadline is the time after the acknowledgement of a zone's evacuation from which no task may start there. Source: evac_ms, 5,000
 	// on the site that has it, for VMs that can reach a working store.
-	EvacuationTime = 5 * time.Second
+	EvacuationDeadline = 5 * time.Second
 	// EvacuationGrace is the additional time allowed while the store rejects calls of VMs or they are disconnected from it, and the store is
 	// neither down nor slow. Source: max_stretch_ms, 6,000 on the same site.
 	EvacuationGrace = 6 * time.Second
@@ -129,7 +129,7 @@
 
 // StoreWatchPause returns the delay after a watch that returned member changes, for the given number of entries. See MinStoreWatchPause.
 func StoreWatchPause(entries int) time.Duration {
-	return min(max(time.Duration(entries)*StoreWatchShare, MinStoreWatchPause), MaxStoreWatchPause)
+	return min(max(time.Duration(entries)*StoreWatchPausePerEntry, MinStoreWatchPause), MaxStoreWatchPause)
 }
 
 // PeerPropagationDelay is the longest time until an entry that cannot reach the store learns from a peer what all others know, if the first
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -42,8 +42,8 @@
 		{"the agent reports a lost run before the entry reruns", withDrift(WorkerLease) + StopTime + DurableLossDelay, DurableRerunDelay, false, "the entry reruns a task that its agent still tracks"},
 		{"agents stop and report before a new owner starts", SessionLease + StopTime + 3*EndResendInterval, RecoveryDelay, false, "a new owner reruns a completed task"},
 		{"orphaned ends outlive a failover", ClaimLease + RecoveryDelay, OrphanEndTimeout, false, "the end of a completed run is dropped before its shard has an owner"},
-		{"an evacuation reaches an agent", StorePropagationDelay + CloseAfter, EvacuationTime, false, "tasks start in an evacuated zone"},
-		{"an evacuation reaches an agent through an entry without the store", StorePropagationDelay + PeerPropagationDelay + CloseAfter, EvacuationTime + EvacuationGrace, false, "tasks start in an evacuated zone"},
+		{"an evacuation reaches an agent", StorePropagationDelay + CloseAfter, EvacuationDeadline, false, "tasks start in an evacuated zone"},
+		{"an evacuation reaches an agent through an entry without the store", StorePropagationDelay + PeerPropagationDelay + CloseAfter, EvacuationDeadline + EvacuationGrace, false, "tasks start in an evacuated zone"},
 		{"a watch after the longest pause is answered in time", MaxStoreWatchPause + StoreWatchTimeout, StoreUpdateLifetime, false, "a store without changes is considered unreachable while members join"},
 		{"a watch is answered in time", StoreWatchTimeout + StoreCallTimeout, StoreUpdateLifetime, false, "a store without changes is considered unreachable"},
 	}
