--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -35,7 +35,7 @@
 		handedOver.waiters = append(handedOver.waiters, e.Waiter)
 		d.emit(handedOver.decisionMade(now, DecisionJoined{}))
 	case isKnown && earlier.isDurable:
-		answer := NotRun{Reason: "a durable job with this ID is in progress", RetryAfter: d.soon()}
+		answer := NotRun{Reason: "the job is kept already", RetryAfter: d.soon()}
 		d.emit(Reply{Waiters: []Waiter{e.Waiter}, Answer: answer})
 	case isKnown:
 		earlier.waiters = append(earlier.waiters, e.Waiter)
--- a/internal/dispatch/containment.go
+++ b/internal/dispatch/containment.go
@@ -175,5 +175,5 @@
 	if !d.isContained(j) || slices.ContainsFunc(d.ordered, func(a *agent) bool { return d.mayRun(j, a) }) {
 		return ""
 	}
-	return "jobs of this kind crash workers, and no worker assigned to the kind accepts tasks"
+	return "jobs of the kind crash workers, and those that it is confined to are away"
 }
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -48,10 +48,10 @@
 const reasonShuttingDown = "the entry stops before the job would end"
 
 // reasonNearLimit is the reason for refusing a job of another entry; see nearLimitShare.
-const reasonNearLimit = "the entry hands over most of its own jobs"
+const reasonNearLimit = "the entry is near its limit"
 
 // reasonHandedOver is the reason for refusing a job that this entry has handed over and that comes back from another one.
-const reasonHandedOver = "the job is already handed over to another entry"
+const reasonHandedOver = "the job was handed over from here"
 
 // reasonCongested is the reason for refusing a job that the entry can neither run in time nor hand over.
 const reasonCongested = "the entry does not keep up"
