--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// callerLeft removes a waiter from its job and drops the job with the last one.
+// callerLeft removes a waiter from its job, and drops the job if no other waiter is left.
 func (d *Dispatcher) callerLeft(now time.Time, e CallerLeft) {
 	j, isHandedOver := d.handedOver[e.Job]
 	if !isHandedOver {
@@ -46,8 +46,8 @@
 	d.emit(CancelReply{Waiter: e.Waiter, Known: isKnown})
 }
 
-// stateOf returns the state of a job. Durable jobs are unknown here; package durable knows their state. A job that was handed over may have
-// begun.
+// stateOf returns the state of a job. Durable jobs are unknown here, as package durable tracks their state. A job that
+// was handed over counts as started, because the other entry may have started it.
 func (d *Dispatcher) stateOf(id string) JobState {
 	if _, ok := d.handedOver[id]; ok {
 		return JobStarted
@@ -72,7 +72,7 @@
 	d.drop(now, j)
 }
 
-// drop forgets a job and stops its runs.
+// drop removes a job and stops its runs. Runs that may not have ended stay in d.endingRuns.
 func (d *Dispatcher) drop(now time.Time, j *job) {
 	delete(d.jobs, j.ID)
 	d.dequeue(j)
@@ -88,11 +88,11 @@
 	}
 }
 
-// slowestTasks is how many tasks a late answer names, so that the log line stays short.
-const slowestTasks = 3
+// maxSlowestTasks bounds the tasks that a late answer names, so that the log line stays short.
+const maxSlowestTasks = 3
 
-// lateAnswer returns the tasks that ended last. It returns nil if the job was answered within its objective or did not
-// run.
+// lateAnswer describes an answer that came after the job's objective, with the tasks that ended last. It returns nil if
+// the job was answered within its objective or did not run.
 func (j *job) lateAnswer(now time.Time, answer Answer) *LateAnswer {
 	if _, isNotRun := answer.(NotRun); isNotRun || now.Sub(j.arrived) <= j.objective {
 		return nil
@@ -100,13 +100,13 @@
 	tasks := slices.Clone(j.tasks)
 	slices.SortStableFunc(tasks, func(a, b *task) int { return b.endedOr(now).Compare(a.endedOr(now)) })
 	late := &LateAnswer{Objective: j.objective}
-	for _, t := range tasks[:min(len(tasks), slowestTasks)] {
+	for _, t := range tasks[:min(len(tasks), maxSlowestTasks)] {
 		late.Slowest = append(late.Slowest, j.progressOf(t))
 	}
 	return late
 }
 
-// endedOr returns when the task was done, or now if it is not.
+// endedOr returns when the task was completed, or now if it was not.
 func (t *task) endedOr(now time.Time) time.Time {
 	if t.state == taskDone {
 		return t.ended
--- a/internal/dispatch/decision.go
+++ b/internal/dispatch/decision.go
@@ -36,7 +36,7 @@
 	return DecisionMade{Decision: decision, Job: j.ID, Kind: j.Kind.Name, Age: now.Sub(j.arrived)}
 }
 
-// Decision is what a dispatcher decided or learned. It is one of the Decision types below.
+// Decision is a decision of a dispatcher, or a change of state that it observed. It is one of the types below.
 type Decision interface{ isDecision() }
 
 // DecisionAccepted reports that the job was accepted.
@@ -52,16 +52,17 @@
 // DecisionHandOverEnded reports that a job which was handed over was answered.
 type DecisionHandOverEnded struct {
 	Answer Answer
-	// Entry is the name of the entry that had it, empty if none has taken it.
+	// Entry is the name of the entry that accepted the job, empty if none did.
 	Entry string
 }
 
-// DecisionJoined reports that another request waits for the answer to a job that was accepted before.
+// DecisionJoined reports that a further request waits for the answer to a job that was accepted before.
 type DecisionJoined struct{}
 
 // DecisionPlaced reports that a run was sent to an agent.
 type DecisionPlaced struct {
-	// Expected is the forecast with which the job was accepted if this is its first run, zero if there was none.
+	// Expected is the forecast with which the job was accepted. It is zero if there was none, or if this is not the
+	// job's first run.
 	Expected forecast.Forecast
 }
 
@@ -69,33 +70,33 @@
 type DecisionEnded struct {
 	Outcome runner.Outcome
 	Reason  string
-	// LostRuns is how many runs of the task were lost at this entry, this one included.
+	// LostRuns is the number of runs of the task that this entry has seen lost, including this one.
 	LostRuns int
 }
 
 // DecisionMoved reports that a run on an unhealthy worker was stopped to run again on a healthy one.
 type DecisionMoved struct{}
 
-// DecisionGivenUp reports that a task is not run again because workers crashed under it, so its job has failed.
+// DecisionGivenUp reports that a task is not run again because workers crashed under it. Its job has failed.
 type DecisionGivenUp struct{ Crashes []Crash }
 
-// DecisionContained reports that a kind is confined to some agents, as jobs of it crash workers.
+// DecisionContained reports that a kind is confined to some agents because its jobs crash workers.
 type DecisionContained struct {
-	// Jobs are those that were given up lately.
+	// Jobs are the jobs of the kind that were recently given up.
 	Jobs   []string
 	Agents []AgentID
 }
 
-// DecisionLimited reports that the entry does not keep up and accepts fewer jobs from now on; see congestion.go.
+// DecisionLimited reports that the entry is overloaded and limits the jobs that it accepts; see congestion.go.
 type DecisionLimited struct {
-	// CountTime is the shortest time from a start to the load that counts it.
+	// CountTime is the shortest time from a start to the load that includes it.
 	CountTime time.Duration
 }
 
-// DecisionUnlimited reports that the entry accepts all jobs again.
+// DecisionUnlimited reports that the entry no longer limits the jobs that it accepts.
 type DecisionUnlimited struct{}
 
-// DecisionContainmentEnded reports that a kind is not confined any more.
+// DecisionContainmentEnded reports that a kind is no longer confined.
 type DecisionContainmentEnded struct{}
 
 // DecisionAnswered reports that the job was answered.
@@ -103,35 +104,36 @@
 	Answer Answer
 	// Late is nil if the answer came within the job's objective, and for NotRun.
 	Late *LateAnswer
-	// IsLateRefusal is set for a NotRun that came after a good part of the objective; see forecast.go.
+	// IsLateRefusal is set for a NotRun that came after the time of job.lateAt; see forecast.go.
 	IsLateRefusal bool
 }
 
 // LateAnswer explains an answer that came after the job's objective.
 type LateAnswer struct {
 	Objective time.Duration
-	// Slowest lists the few tasks that ended last, unfinished ones first.
+	// Slowest lists at most maxSlowestTasks tasks that ended last, unfinished ones first.
 	Slowest []TaskProgress
 }
 
-// TaskProgress describes a task and its latest run. Times count from the arrival of the job.
+// TaskProgress describes a task and its latest run. Times are relative to the arrival of the job.
 type TaskProgress struct {
 	Task string
-	// Run is zero if the task was never placed. The fields below are zero then.
+	// Run is the number of the latest run. If the task was never placed, it and the fields below are zero.
 	Run    uint32
 	Agent  AgentID
 	Placed time.Duration
 	IsDone bool
-	// Done is when the task was done, zero while IsDone is false.
+	// Done is when the task was completed, zero while IsDone is false.
 	Done     time.Duration
 	Failures int
 	Moves    int
 }
 
-// DecisionAvoidableRefusal reports that a worker has had room for a job since it was refused by its forecast, which nobody used.
+// DecisionAvoidableRefusal reports that a job was refused by its forecast although a worker later had unused resources
+// that would have sufficed for it.
 type DecisionAvoidableRefusal struct{}
 
-// DecisionCallerLeft reports that no request waits for the job's answer any more, so the job was dropped.
+// DecisionCallerLeft reports that the last request that waited for the job was closed, so the job was dropped.
 type DecisionCallerLeft struct{}
 
 // DecisionDropped reports that a durable job was dropped because another entry runs it or because it has ended.
@@ -149,10 +151,10 @@
 // DecisionWorker reports that an agent described its worker.
 type DecisionWorker struct{ Incarnation worker.Incarnation }
 
-// DecisionAccepts reports that an agent began or ceased to accept tasks.
+// DecisionAccepts reports that an agent started or stopped accepting tasks.
 type DecisionAccepts struct{ Accepts bool }
 
-// DecisionEjected reports that an agent's worker was ejected or is in service again.
+// DecisionEjected reports that an agent's worker was ejected or returned to service.
 type DecisionEjected struct{ IsEjected bool }
 
 func (DecisionAccepted) isDecision()          {}
--- a/internal/dispatch/durable.go
+++ b/internal/dispatch/durable.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// This file applies what package durable decides about durable jobs. Package durable records them in the store, counts
-// their failed runs, and answers their callers; the dispatcher runs their tasks like others (runs.go). They have no
-// waiters and no time limit, and their tasks wait longer for a lost agent (rerun.go).
+// This file applies the decisions of package durable about durable jobs. Package durable records them in the store,
+// counts their failed runs, and answers their callers; the dispatcher runs their tasks like those of other jobs
+// (runs.go). Durable jobs have no waiters and no time limit, and their tasks wait longer for a lost agent (rerun.go).
 
-// acceptDurable adds a durable job, without the tasks that are done already. One of the same ID that was handed over is withdrawn.
+// acceptDurable adds a durable job and marks the tasks that are already done. A hand-over of a job with the same ID is
+// withdrawn.
 func (d *Dispatcher) acceptDurable(now time.Time, e DurableAccepted) {
 	if _, ok := d.jobs[e.Job.ID]; ok {
 		return
@@ -38,7 +39,7 @@
 	d.giveUpIfDue(now, j)
 }
 
-// dropDurable stops durable jobs and forgets them.
+// dropDurable removes durable jobs and stops their runs.
 func (d *Dispatcher) dropDurable(now time.Time, ids []string) {
 	for _, id := range ids {
 		if j, ok := d.jobs[id]; ok && j.isDurable {
@@ -48,8 +49,8 @@
 	}
 }
 
-// endDurableTask applies the end of a run that this dispatcher did not report, for example of an earlier owner of the
-// job. If the task is done, a run of it here is stopped.
+// endDurableTask applies the end of a run that this dispatcher did not report, for example a run that an earlier owner
+// of the job started. If the task is done, a run of it at this entry is stopped.
 func (d *Dispatcher) endDurableTask(now time.Time, e DurableTaskEnded) {
 	j, t := d.find(e.Task)
 	if t == nil || !j.isDurable || t.state == taskDone {
@@ -69,7 +70,8 @@
 	d.completeTask(now, j, t)
 }
 
-// DurableRuns counts the tasks of durable jobs of which a run may be under way, or may have ended without a report.
+// DurableRuns returns the number of tasks of durable jobs with a run that may be in progress or may have ended without a
+// report.
 func (d *Dispatcher) DurableRuns(now time.Time) int {
 	count := 0
 	for _, j := range d.jobs {
--- a/internal/dispatch/effect.go
+++ b/internal/dispatch/effect.go
@@ -9,7 +9,7 @@
 	"sailhead/internal/runner"
 )
 
-// Effect is an action for the caller of Handle to carry out. It is one of the types below or DecisionMade.
+// Effect is an action that the caller of Handle has to carry out. It is one of the types below or DecisionMade.
 type Effect interface{ isEffect() }
 
 // Reply answers the requests that wait for a job.
@@ -24,7 +24,7 @@
 	State  JobState
 }
 
-// CancelReply answers a CancelRequested. Known is false if there is no such job, or if it is durable.
+// CancelReply answers a CancelRequested. Known is false if there is no such job or the job is durable.
 type CancelReply struct {
 	Waiter Waiter
 	Known  bool
@@ -33,7 +33,7 @@
 // StartTask sends a run of a task to an agent.
 type StartTask struct {
 	Agent AgentID
-	// Number counts the starts sent in the agent's session, from 1.
+	// Number is the sequence number of the start in the agent's session, from 1.
 	Number uint64
 	Task   runner.Task
 }
@@ -50,45 +50,45 @@
 	Reservation runner.Reservation
 }
 
-// AnswerOffer answers an offer, after the starts that use it.
+// AnswerOffer answers an offer. It follows the starts that use the offer.
 type AnswerOffer struct {
 	Agent AgentID
 	Offer runner.OfferID
 }
 
-// CloseSession closes the session with an agent, as nothing of this entry is there.
+// CloseSession closes the session with an agent that has no runs of this entry.
 type CloseSession struct{ Agent AgentID }
 
-// HandOver hands a job over to another entry. The result comes as HandOverEnded with the same number.
+// HandOver hands a job over to another entry. A HandOverEnded with the same number reports the result.
 type HandOver struct {
 	Job Job
-	// Number counts the hand-overs of this entry, from 1.
+	// Number is the sequence number of the hand-over at this entry, from 1.
 	Number uint64
 }
 
-// WithdrawHandOver ends a hand-over. Its result is not needed any more.
+// WithdrawHandOver cancels a hand-over whose result is no longer needed.
 type WithdrawHandOver struct {
 	Job    string
 	Number uint64
 }
 
-// RecordEnd passes the end of a run of a durable job to package durable, which records it before the worker may forget
+// RecordEnd passes the end of a run of a durable job to package durable, which records it before the worker may discard
 // it.
 type RecordEnd struct {
 	Agent  AgentID
 	Update runner.Update
 }
 
-// PropagateCrash passes a crash that was not known here to the other entries.
+// PropagateCrash passes a crash that was new to this entry on to the other entries.
 type PropagateCrash struct {
 	Agent AgentID
 	Crash runner.Crash
 }
 
-// DurableGivenUp tells package durable that a job has failed, as workers crashed under one of its tasks.
+// DurableGivenUp reports to package durable that a job has failed because workers crashed under one of its tasks.
 type DurableGivenUp struct{ Job string }
 
-// DurableStarted tells package durable that the first task of a job has begun.
+// DurableStarted reports to package durable that the first task of a job may have started.
 type DurableStarted struct{ Job string }
 
 func (Reply) isEffect()            {}
@@ -112,11 +112,11 @@
 
 // The states of a job.
 const (
-	// JobUnknown means that no such job is under way, or it is durable.
+	// JobUnknown means that no such job is in progress, or that it is durable.
 	JobUnknown JobState = iota
-	// JobWaiting means that no task has begun.
+	// JobWaiting means that no task has started.
 	JobWaiting
-	// JobStarted means that a task may have begun.
+	// JobStarted means that a task may have started.
 	JobStarted
 )
 
@@ -126,7 +126,7 @@
 // Completed means that every task is done.
 type Completed struct{}
 
-// Failed means that a task failed as often as its kind allows, or that workers crashed under it.
+// Failed means that a task has used up the attempts of its kind, or that workers crashed under it.
 type Failed struct{ Reason string }
 
 // NotRun means that no task has run or will run.
@@ -134,13 +134,14 @@
 	Reason string
 	// RetryAfter is how long the caller should wait before it submits the job again.
 	RetryAfter time.Duration
-	// IsLocal is set if the job was refused for the entry's own sake: another one may serve it at once.
+	// IsLocal is set if the job was refused because of the state of this entry, so that another entry may serve it at
+	// once.
 	IsLocal bool
-	// IsForecast is set if the job was refused on arrival for the wait that was expected of it.
+	// IsForecast is set if the job was refused on arrival because of its forecast wait.
 	IsForecast bool
 }
 
-// Interrupted means that the job ended early, and a task may have run.
+// Interrupted means that the job ended before it was complete and that a task may have run.
 type Interrupted struct{ Reason string }
 
 func (Completed) isAnswer()   {}
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -12,10 +12,10 @@
 	"sailhead/internal/worker"
 )
 
-// Event is an input of the dispatcher. It is one of the types below.
+// Event is an input to the dispatcher. It is one of the types below.
 type Event interface{ isEvent() }
 
-// Submitted reports that a caller submitted a job that is not durable. A Reply answers it.
+// Submitted reports that a caller submitted a job that is not durable. It is answered by a Reply.
 type Submitted struct {
 	Job    Job
 	Waiter Waiter
@@ -27,51 +27,53 @@
 	Waiter Waiter
 }
 
-// CancelRequested asks to end a job that is not durable. A CancelReply answers it.
+// CancelRequested asks to cancel a job that is not durable. It is answered by a CancelReply.
 type CancelRequested struct {
 	Job    string
 	Waiter Waiter
 }
 
-// StateRequested asks for the state of a job that is not durable. A StateReply answers it.
+// StateRequested asks for the state of a job that is not durable. It is answered by a StateReply.
 type StateRequested struct {
 	Job    string
 	Waiter Waiter
 }
 
 // DurableAccepted reports that this entry runs a durable job from now on, until all its tasks are done or a task has
-// failed as often as its kind allows. Package durable answers its callers.
+// used up the attempts of its kind. Package durable answers its callers.
 type DurableAccepted struct {
 	Job Job
-	// DoneTasks are the tasks that are done.
+	// DoneTasks are the names of the tasks that are done.
 	DoneTasks []string
 	// Failures counts the failed runs of the other tasks by the task's name.
 	Failures map[string]int
-	// NotBefore is when the runs that an earlier owner started have ended, zero if there was no earlier owner.
+	// NotBefore is when the runs that an earlier owner started have ended at the latest, zero if there was no earlier
+	// owner.
 	NotBefore time.Time
 }
 
-// DurableDropped reports that durable jobs have ended or run at another entry. Their runs here are stopped.
+// DurableDropped reports that durable jobs have ended or are now run by another entry. Their runs at this entry are
+// stopped.
 type DurableDropped struct{ Jobs []string }
 
-// DurableTaskEnded reports that a run of a task of a durable job has ended, and this dispatcher did not report it.
+// DurableTaskEnded reports the end of a run of a durable job that this dispatcher has not passed to package durable.
 type DurableTaskEnded struct {
 	Task   string
 	Failed bool
 }
 
-// AgentsRegistered reports that the registered agents have changed, or the number of those with which the entry keeps sessions.
+// AgentsRegistered reports that the registered agents, or the number of those selected for sessions, have changed.
 type AgentsRegistered struct {
 	// Agents are the registered agents, with or without a session, in order.
 	Agents []AgentID
-	// Chosen is the number of those with which the entry keeps sessions, open ones or not.
+	// Chosen is the number of them that the entry has selected for sessions, open or not.
 	Chosen int
 }
 
 // AgentUp reports that a session with an agent was opened.
 type AgentUp struct{ Agent AgentID }
 
-// AgentUnresponsive reports that an agent has not answered for some time. It gets no new tasks.
+// AgentUnresponsive reports that an agent has stopped answering. It gets no new tasks.
 type AgentUnresponsive struct{ Agent AgentID }
 
 // AgentResponsive reports that an unresponsive agent answers again.
@@ -80,11 +82,11 @@
 // AgentDown reports that the session with an agent was closed.
 type AgentDown struct{ Agent AgentID }
 
-// AgentDeselected reports that the entry needs its session with an agent no longer. It comes again until a CloseAgent answers
-// it, or AgentWanted takes it back.
+// AgentDeselected reports that the entry no longer needs its session with an agent. It is repeated until the dispatcher
+// emits a CloseSession or an AgentSelected revokes it.
 type AgentDeselected struct{ Agent AgentID }
 
-// AgentSelected takes back an AgentUnwanted.
+// AgentSelected revokes an AgentDeselected.
 type AgentSelected struct{ Agent AgentID }
 
 // WorkerDescribed reports that an agent described its worker.
@@ -96,31 +98,31 @@
 // LoadReceived carries the load of a worker, as its agent sent it.
 type LoadReceived struct {
 	Agent AgentID
-	// Handled is the number of the last start that the load counts.
+	// Handled is the number of the last start that the load includes.
 	Handled uint64
 	Load    runner.Load
 }
 
-// OfferReceived carries the offer of an agent, which keeps the resources until the offer is answered.
+// OfferReceived carries the offer of an agent. The agent holds the resources until the offer is answered.
 type OfferReceived struct {
 	Agent AgentID
 	Offer runner.Offer
 }
 
-// RunUpdated carries the report of an agent that a run began or ended.
+// RunUpdated carries the report of an agent that a run started or ended.
 type RunUpdated struct {
 	Agent  AgentID
 	Update runner.Update
 }
 
-// WorkerCrashed reports that an incarnation of an agent's worker has crashed, also of one without a session here. It may come
-// more than once for one crash.
+// WorkerCrashed reports that an incarnation of an agent's worker has crashed. The agent may have no session with this
+// entry, and a crash may be reported more than once.
 type WorkerCrashed struct {
 	Agent AgentID
 	Crash runner.Crash
 }
 
-// HandOverTaken reports that another entry has taken a job that was handed over.
+// HandOverTaken reports that another entry has accepted a job that was handed over.
 type HandOverTaken struct {
 	Job string
 	// Number is that of the hand-over.
@@ -129,7 +131,7 @@
 	Entry string
 }
 
-// HandOverEnded reports how a job ended that was handed over.
+// HandOverEnded reports the result of a job that was handed over.
 type HandOverEnded struct {
 	Job string
 	// Number is that of the hand-over.
@@ -137,17 +139,17 @@
 	Result HandOverResult
 }
 
-// LearnedReceived carries what another entry has learned of kinds.
+// LearnedReceived carries what another entry has learned about kinds.
 type LearnedReceived struct{ Kinds []learned.Kind }
 
-// EvacuationsChanged reports which availability zones are evacuated, as far as this entry knows.
+// EvacuationsChanged reports the evacuated availability zones, as far as this entry knows them.
 type EvacuationsChanged struct{ State evacuation.State }
 
 // ShutdownRequested reports that the process ends at a given time. Jobs that would end later are refused, and no task
 // of a durable job is placed.
 type ShutdownRequested struct{ Until time.Time }
 
-// Ticked lets the dispatcher apply the rules that depend on time alone. It comes at short intervals.
+// Ticked applies the rules that depend on time alone. Package entry sends it at short intervals.
 type Ticked struct{}
 
 func (Submitted) isEvent()          {}
--- a/internal/dispatch/order.go
+++ b/internal/dispatch/order.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// compareJobs returns the order in which jobs are placed at a time: negative if a comes before b. It is that of their
-// urgency, then that of their arrival.
+// compareJobs compares two jobs by the order in which they are placed at a time: by urgency, then by arrival. It returns
+// a negative number if a comes before b.
 func compareJobs(a, b *job, now time.Time) int {
 	return cmp.Or(a.urgency().Compare(b.urgency(), now), cmp.Compare(a.number, b.number))
 }
 
-// sortWaiting puts the waiting jobs in order. The order changes with time.
+// sortWaiting sorts the waiting jobs by compareJobs, whose order changes with time.
 func (d *Dispatcher) sortWaiting(now time.Time) {
 	slices.SortFunc(d.waiting, func(a, b *job) int { return compareJobs(a, b, now) })
 }
 
-// enqueue adds a job to the waiting ones if it is not one of them.
+// enqueue adds a job to the waiting ones if it is not among them yet.
 func (d *Dispatcher) enqueue(j *job) {
 	d.isPlaceDue = true
 	if !slices.Contains(d.waiting, j) {
@@ -36,7 +36,8 @@
 	}
 }
 
-// dequeueUnlessPending removes a job from the waiting ones if none of its tasks can be placed before another one ends.
+// dequeueUnlessPending removes a job from the waiting ones unless it has a task that can be placed now, or as soon as an
+// earlier run of that task has ended.
 func (d *Dispatcher) dequeueUnlessPending(now time.Time, j *job) {
 	for _, t := range j.tasks {
 		if t.awaitsEnd(now) || t.state == taskPending && j.isReady(t.step) {
--- a/internal/dispatch/runs.go
+++ b/internal/dispatch/runs.go
@@ -12,8 +12,8 @@
 
 // updateRun applies an agent's report on a run that was sent to it. Reports on other runs are ignored.
 //
-// Jobs and durable jobs are handled alike, except that package durable hears of the begin of a durable job and of the
-// ends that it records, and that it answers the callers (see endJob).
+// Durable jobs are handled like others, except that the start of the job and the ends of its runs are passed to package
+// durable, which answers the callers (see endJob).
 func (d *Dispatcher) updateRun(now time.Time, e RunUpdated) {
 	if d.isEndingRun(e) {
 		d.updateEndingRun(e)
@@ -23,7 +23,7 @@
 	if t == nil || !t.isAt(e.Agent) {
 		return
 	}
-	// An agent may have started the run under a higher number.
+	// The agent may have started the run with a higher number.
 	t.run = max(t.run, e.Update.Run)
 	if e.Update.Outcome == runner.OutcomeLost {
 		t.lostRuns++
@@ -56,7 +56,7 @@
 	}
 }
 
-// markBegun records that a task of the job has begun.
+// markBegun records that a task of the job may have started.
 func (d *Dispatcher) markBegun(j *job) {
 	if j.isDurable && !j.begun {
 		d.emit(DurableStarted{Job: j.ID})
@@ -71,7 +71,7 @@
 	}
 }
 
-// completeTask marks a task as done and ends its job with the last one.
+// completeTask marks a task as done. The last task ends its job.
 func (d *Dispatcher) completeTask(now time.Time, j *job, t *task) {
 	t.state = taskDone
 	t.ended = now
@@ -89,11 +89,12 @@
 		d.endJob(now, j, Completed{})
 		return
 	}
-	// Tasks of later steps may be ready now.
+	// Steps that depend on this one may be ready now.
 	d.enqueue(j)
 }
 
-// failTask counts a failed run. The task runs again, on another worker if possible, or its job has failed.
+// failTask counts a failed run. The task runs again, on another worker if possible, unless it has used up its attempts and
+// its job fails.
 func (d *Dispatcher) failTask(now time.Time, j *job, t *task) {
 	t.failures++
 	t.avoidAgent()
@@ -111,7 +112,8 @@
 	d.enqueue(j)
 }
 
-// endJob ends a job that is done or has failed. Package durable answers durable jobs, from the ends that it records.
+// endJob ends a job that is done or has failed. Durable jobs are answered by package durable, based on the ends that it
+// has recorded.
 func (d *Dispatcher) endJob(now time.Time, j *job, answer Answer) {
 	if j.isDurable {
 		d.drop(now, j)
