--- a/internal/dispatch/agent.go
+++ b/internal/dispatch/agent.go
@@ -12,29 +12,30 @@
 	"sailhead/internal/worker"
 )
 
-// agent is an agent in session, with its worker.
+// agent is an agent with an open session, and its worker.
 type agent struct {
 	id           AgentID
 	record       worker.Record
 	load         runner.Load
 	unresponsive bool
-	// timeFactor is by how many times tasks take longer on the worker than on others; see speed.go.
+	// timeFactor is the run time of tasks on the worker relative to the mean of all workers; see speed.go.
 	timeFactor float64
-	// unwanted is set while the session is to be closed; see agentUnwanted.
-	unwanted bool
+	// deselected is set while the entry no longer needs the session; see agentDeselected.
+	deselected bool
 	// evacuated is set while the worker's availability zone is evacuated; see evacuation.go.
 	evacuated bool
 	// ignoresEjection is set while tasks are started on the worker although it is ejected; see ejection.go.
 	ignoresEjection bool
-	// isWithoutOther is set while all workers of the service are ejected, so that there is none for a task that must not fail again.
+	// isWithoutOther is set while all workers of the service are ejected, so that even a task that must not fail again
+	// has to run on an ejected one.
 	isWithoutOther bool
 	// lastStart is the number of the last start sent in this session.
 	lastStart uint64
-	// uncounted holds the starts that the load does not count yet.
+	// uncounted holds the starts that the load does not include yet.
 	uncounted []sentStart
 	// uncountedResources is the sum of their needs.
 	uncountedResources worker.Resources
-	// counted is the number of the last start that the load counts, rejected that of the last start that was rejected.
+	// counted is the number of the last start that the load includes, rejected that of the last start that was rejected.
 	counted  uint64
 	rejected uint64
 }
@@ -46,14 +47,14 @@
 	at     time.Time
 }
 
-// free returns the free resources of the worker: its capacity without the latest load and the starts sent after it. A
-// resource is negative if other entries placed more than there was.
+// free returns the free resources of the worker: its capacity minus the latest load and the starts sent since. A
+// resource is negative if other entries have overcommitted it.
 func (a *agent) free() worker.Resources {
 	return a.record.Capacity.Minus(a.load.Used).Minus(a.uncountedResources)
 }
 
-// unreserved returns the free resources that may be used without an offer: none while reservations wait for them, or after a start was
-// rejected until a later load tells what is free.
+// unreserved returns the free resources that may be used without an offer. There are none while reservations wait at
+// the agent, nor between a rejected start and the next load, as the free resources are unknown then.
 func (a *agent) unreserved() worker.Resources {
 	if a.load.HasReservations || a.rejected > a.counted {
 		return worker.Resources{}
@@ -61,7 +62,7 @@
 	return a.free()
 }
 
-// applyLoad replaces the load and forgets the starts that it counts.
+// applyLoad replaces the load and removes the starts that it includes from uncounted.
 func (a *agent) applyLoad(handled uint64, load runner.Load) {
 	a.load = load
 	a.counted = handled
@@ -76,8 +77,9 @@
 	a.uncounted = uncounted
 }
 
-// noteCounted notes how long ago the starts were sent that a load counts first.
-func (d *Dispatcher) noteCounted(now time.Time, a *agent, handled uint64) {
+// recordCountTimes records how long the starts that a new load includes have taken to be included, which shows
+// congestion; see congestion.go.
+func (d *Dispatcher) recordCountTimes(now time.Time, a *agent, handled uint64) {
 	wasLimited := d.congestion.isLimited()
 	for _, start := range a.uncounted {
 		if start.number <= handled {
@@ -92,7 +94,7 @@
 	}
 }
 
-// countStart subtracts the needs of a start from the free resources and returns the start's number.
+// countStart adds a start to the uncounted ones and returns its number.
 func (a *agent) countStart(now time.Time, needs worker.Resources) uint64 {
 	a.lastStart++
 	a.uncounted = append(a.uncounted, sentStart{number: a.lastStart, needs: needs, at: now})
@@ -105,18 +107,18 @@
 	return !a.unresponsive && a.mayGetTasks() && (a.load.Accepts || a.ignoresEjection) && !a.load.ShuttingDown && a.record.Service == service
 }
 
-// mayGetTasks reports whether the entry starts tasks at the agent at all, whatever the agent says.
+// mayGetTasks reports whether the entry itself permits starts at the agent, regardless of the agent's load.
 func (a *agent) mayGetTasks() bool {
-	return !a.unwanted && !a.evacuated
+	return !a.deselected && !a.evacuated
 }
 
-// hasHeard reports whether the agent knew of all runs that have ended on its worker when it sent the latest load. One that accepts tasks
-// does.
-func (a *agent) hasHeard() bool {
+// knowsAllEnds reports whether the agent knew all ends of runs on its worker when it sent the latest load. An agent that
+// accepts tasks does.
+func (a *agent) knowsAllEnds() bool {
 	return a.load.KnowsAllEnds || a.load.Accepts
 }
 
-// agentUp adds an agent without worker and load. It replaces an agent of the same id.
+// agentUp adds an agent whose worker and load are not known yet. It replaces an agent with the same ID.
 func (d *Dispatcher) agentUp(id AgentID) {
 	d.removeAgent(id)
 	d.forgetReservationsAt(id)
@@ -159,9 +161,9 @@
 	}
 }
 
-// agentsChanged records that agents have changed in a way that matters to reservations and placements.
+// agentsChanged makes reservations and placements be computed again after a change of the agents.
 func (d *Dispatcher) agentsChanged() {
-	d.view++
+	d.agentsVersion++
 	d.isPlaceDue = true
 	d.updateEjections()
 }
@@ -187,14 +189,14 @@
 	if hasNewAccepts {
 		d.emit(DecisionMade{Decision: DecisionAccepts{Accepts: e.Load.Accepts}, Agent: e.Agent})
 	}
-	hadHeard, wasHealthy, before, beforeLongest := a.hasHeard(), a.isHealthy(), a.unreserved(), a.freeForLongest()
+	knewAllEnds, wasHealthy, before, beforeLongest := a.knowsAllEnds(), a.isHealthy(), a.unreserved(), a.freeForLongest()
 	hasNewFactor := a.load.TimeFactor != e.Load.TimeFactor
-	d.noteCounted(now, a, e.Handled)
+	d.recordCountTimes(now, a, e.Handled)
 	a.applyLoad(e.Handled, e.Load)
 	if hasNewFactor {
 		d.updateTimeFactors()
 	}
-	if a.hasHeard() && !hadHeard {
+	if a.knowsAllEnds() && !knewAllEnds {
 		d.isPlaceDue = true
 		d.agentRecovered(now, e.Agent)
 		d.workerHeard(a)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -13,23 +13,25 @@
 	"sailhead/internal/evacuation"
 )
 
-// Limits bounds what a dispatcher holds.
+// Limits holds the limits and options of a dispatcher.
 type Limits struct {
-	// Jobs is the largest number of jobs under way. Durable jobs count, but are never refused here.
+	// Jobs is the largest number of jobs in progress. Durable jobs count, but are never refused here.
 	Jobs int
-	// NoContainment is set if kinds of which jobs crash workers are not contained; see containment.go.
+	// NoContainment disables the containment of kinds whose jobs crash workers; see containment.go.
 	NoContainment bool
-	// CrossRackFactor is by how many times a task takes longer on a worker of another rack than that of its data; 1 or less if that does not matter.
+	// CrossRackFactor is the ratio of a task's run time in another rack to that in the rack of its data; 1 or less if
+	// the rack makes no difference.
 	CrossRackFactor float64
-	// HandOver is set if jobs may be handed over to other entries; see handover.go.
+	// HandOver enables hand-overs of jobs to other entries; see handover.go.
 	HandOver bool
-	// NoEjection is set if the entry takes no part in the ejection of workers; see ejection.go.
+	// NoEjection excludes the entry from the ejection of workers; see ejection.go.
 	NoEjection bool
-	// NoForecast is set if no job is refused by the wait that is expected of it; see forecast.go.
+	// NoForecast disables refusals because of the forecast wait; see forecast.go.
 	NoForecast bool
-	// NoShares is set if offers are used by urgency alone, and room for shorter tasks is not left free; see reserve.go and plan.go.
+	// NoShares disables shares: offers are used by urgency alone, and no resources are kept free for shorter tasks; see
+	// reserve.go and plan.go.
 	NoShares bool
-	// Weights are those of some kinds in the shares of workers.
+	// Weights holds the weights of kinds in the shares of workers, by the kind's name. A kind that is missing has weight 1.
 	Weights map[string]float64
 }
 
@@ -38,61 +40,62 @@
 	limits Limits
 	random *rand.Rand
 	jobs   map[string]*job
-	// lastNumber is the number of the job that arrived last.
+	// lastNumber is the number of the latest job to arrive.
 	lastNumber uint64
 	// waiting holds the jobs that may have tasks to place. It is in the order of compareJobs after sortWaiting.
 	waiting []*job
-	// agents holds the agents in session.
+	// agents holds the agents with an open session.
 	agents map[AgentID]*agent
-	// ordered holds the same agents sorted by id.
+	// ordered holds the same agents, sorted by ID.
 	ordered []*agent
-	// isPlaceDue is set when place may have something to do: a task was added to the waiting ones or a job left them, more
-	// resources are free, agents have changed, or time has passed (Ticked).
+	// isPlaceDue is set when place may be able to place a task: a job joined or left the waiting ones, more resources
+	// are free, agents have changed, or time has passed (Ticked).
 	isPlaceDue bool
-	// view counts the changes of which agents accept tasks. Reservations are looked at again when it changes.
-	view uint64
-	// evacuations holds the availability zones in which nothing is started.
+	// agentsVersion is incremented when the set of agents that accept tasks changes. Each job then updates its reservations.
+	agentsVersion uint64
+	// evacuations holds the evacuated availability zones, where no task is started.
 	evacuations evacuation.State
 	// knownAgents is the number of registered agents, with or without a session.
 	knownAgents int
-	// chosenAgents is the number of those with which the entry keeps sessions, open ones or not.
+	// chosenAgents is the number of registered agents that the entry has selected for sessions, open or not.
 	chosenAgents int
-	// candidates is a buffer that plans reuse.
+	// candidates is a buffer that collectCandidates reuses.
 	candidates []candidate
 	// endingRuns holds, by the task's name, the runs of dropped jobs that may not have ended. A job submitted again
-	// under the same id waits for them.
+	// under the same ID waits for them.
 	endingRuns map[string]endingRun
 	// suspects holds the tasks under which workers have crashed.
 	suspects suspects
-	// crashHistory tells whether workers crash for other causes than tasks at present.
+	// crashHistory is used to detect that workers currently crash for other causes than tasks.
 	crashHistory crashHistory
-	// containment holds the kinds of which jobs have crashed workers.
+	// containment holds the kinds whose jobs have crashed workers.
 	containment containment
-	// lostSessions holds, by agent, what ran at its worker when its session ended, until it describes its worker again.
+	// lostSessions holds, by agent, the runs that were at its worker when its session ended, until the agent describes its
+	// worker again.
 	lostSessions map[AgentID]lostSession
 	// ejectedAgents is the number of agents in session whose workers are ejected.
 	ejectedAgents int
-	// probes are those that agents offered and no task has used.
+	// probes holds the probes that agents offered and no task has used.
 	probes []heldProbe
-	// kindOutcomes tells kinds that fail everywhere from workers that fail, by the kind's name.
+	// kindOutcomes is used to distinguish kinds that fail on all workers from failing workers, by the kind's name.
 	kindOutcomes map[string]ejection.Outcomes
 	// runTimes is used to estimate how long tasks run.
 	runTimes runTimes
-	// lastSteps has when the last step of each kind was seen that runTimes rests on, by the kind's name.
-	lastSteps map[string]time.Time
+	// lastStepTimes holds, by the kind's name, when runTimes last learned from a step.
+	lastStepTimes map[string]time.Time
 	// callerTimes is used to detect late retries.
 	callerTimes callerTimes
-	// congestion limits the accepted jobs while the entry's VM cannot keep up.
+	// congestion limits the accepted jobs while the entry's VM is overloaded.
 	congestion congestion
-	// handedOver holds the jobs that other entries have, by their IDs.
+	// handedOver holds the jobs that were handed over to other entries, by their IDs.
 	handedOver map[string]*job
 	// lastHandOver is the number of the latest hand-over.
 	lastHandOver uint64
-	// onTheWay limits those that were handed over and not taken yet.
+	// onTheWay limits the hand-overs that no entry has accepted yet.
 	onTheWay congestion
-	// returns is used to spread the returns of refused callers.
+	// returns is used to spread the retries of refused callers over time.
 	returns returnPlan
-	// forecasts is used to refuse jobs that would wait for too long.
+	// forecasts is used to refuse jobs that would wait too long.
 	forecasts forecasts
 	// shutdownAt is when the process ends, zero while it is not shutting down.
 	shutdownAt time.Time
@@ -100,27 +103,27 @@
 	effects []Effect
 }
 
-// New returns a dispatcher without jobs and agents.
+// New returns a dispatcher with no jobs and no agents.
 func New(limits Limits, random *rand.Rand) *Dispatcher {
 	return &Dispatcher{
 		limits: limits, random: random,
-		jobs:         make(map[string]*job),
-		agents:       make(map[AgentID]*agent),
-		endingRuns:   make(map[string]endingRun),
-		suspects:     make(suspects),
-		containment:  newContainment(),
-		lostSessions: make(map[AgentID]lostSession),
-		kindOutcomes: make(map[string]ejection.Outcomes),
-		runTimes:     make(runTimes),
-		lastSteps:    make(map[string]time.Time),
-		callerTimes:  make(callerTimes),
-		handedOver:   make(map[string]*job),
-		forecasts:    newForecasts(),
+		jobs:          make(map[string]*job),
+		agents:        make(map[AgentID]*agent),
+		endingRuns:    make(map[string]endingRun),
+		suspects:      make(suspects),
+		containment:   newContainment(),
+		lostSessions:  make(map[AgentID]lostSession),
+		kindOutcomes:  make(map[string]ejection.Outcomes),
+		runTimes:      make(runTimes),
+		lastStepTimes: make(map[string]time.Time),
+		callerTimes:   make(callerTimes),
+		handedOver:    make(map[string]*job),
+		forecasts:     newForecasts(),
 	}
 }
 
-// Handle applies events, places waiting tasks, and returns the effects in order. Events that are available together
-// should be passed together, because each placement visits every waiting job and every worker.
+// Handle applies events, places waiting tasks, and returns the effects in order. Callers should pass all available
+// events in one call, because each placement visits every waiting job and every worker.
 func (d *Dispatcher) Handle(now time.Time, events ...Event) []Effect {
 	d.effects = nil
 	for _, event := range events {
@@ -135,7 +138,7 @@
 	return d.effects
 }
 
-// handleEvent applies one event to the state.
+// handleEvent applies one event without placing tasks.
 func (d *Dispatcher) handleEvent(now time.Time, event Event) {
 	switch e := event.(type) {
 	case Submitted:
@@ -163,9 +166,9 @@
 	case AgentDown:
 		d.agentDown(now, e.Agent)
 	case AgentDeselected:
-		d.agentUnwanted(e.Agent)
+		d.agentDeselected(e.Agent)
 	case AgentSelected:
-		d.agentWanted(e.Agent)
+		d.agentSelected(e.Agent)
 	case WorkerDescribed:
 		d.workerDescribed(now, e)
 	case LoadReceived:
@@ -181,7 +184,7 @@
 	case HandOverEnded:
 		d.handOverEnded(now, e)
 	case LearnedReceived:
-		d.learn(now, e.Kinds)
+		d.mergeLearned(now, e.Kinds)
 	case EvacuationsChanged:
 		d.evacuationsChanged(now, e.State)
 	case ShutdownRequested:
@@ -206,17 +209,18 @@
 	d.effects = append(d.effects, effect)
 }
 
-// Counts returns the numbers of jobs under way, handed over ones included, of those that may have tasks to place, and of agents in session.
+// Counts returns the number of jobs in progress, including those handed over, of jobs that may have tasks to place, and
+// of agents with an open session.
 func (d *Dispatcher) Counts() (jobs, waiting, agents int) {
 	return len(d.jobs) + len(d.handedOver), len(d.waiting), len(d.agents)
 }
 
-// isShuttingDown reports whether the process ends soon.
+// isShuttingDown reports whether a shutdown of the process was requested.
 func (d *Dispatcher) isShuttingDown() bool {
 	return !d.shutdownAt.IsZero()
 }
 
-// add adds a new job to those under way and to the waiting ones.
+// add adds a new job to the jobs in progress and to the waiting ones.
 func (d *Dispatcher) add(j *job) {
 	d.lastNumber++
 	j.number = d.lastNumber
@@ -225,11 +229,11 @@
 	d.enqueue(j)
 }
 
-// jobsByArrival returns the jobs under way here in the order of their arrival.
+// jobsByArrival returns the jobs in progress at this entry in the order of their arrival.
 func (d *Dispatcher) jobsByArrival() []*job { return jobsByArrival(d.jobs) }
 
-// jobsByArrival returns jobs in the order of their arrival. Those that were handed over have no number: their times and IDs
-// order them.
+// jobsByArrival returns jobs in the order of their arrival. Jobs that were handed over have no number and are ordered by
+// their arrival times and IDs.
 func jobsByArrival(all map[string]*job) []*job {
 	jobs := make([]*job, 0, len(all))
 	for _, j := range all {
--- a/internal/dispatch/distance.go
+++ b/internal/dispatch/distance.go
@@ -5,42 +5,43 @@
 
 import "time"
 
-// This file decides between a worker of the rack that has a job's data and one that is free elsewhere.
+// This file decides between waiting for a worker in the rack of a job's data and using a free worker in another rack.
 //
-// Inputs: the rack label of the step, by how many times a task takes longer on a worker of another rack (Limits.FarTimes).
+// Inputs: the rack label of the step, the ratio of run times across racks (Limits.CrossRackFactor).
 //
-// Rule: on a worker of another rack a task is expected to take FarTimes times as long. The rules for workers that are too slow do the rest
-// (isTooSlow): a job that would be late there waits for room in its rack for maxSpeedWaitShare of its slack, and takes what is free after that. A job
-// that is in time there does not wait.
+// Rule: on a worker in another rack a task is expected to take CrossRackFactor times as long. The rules for slow workers
+// then apply (isTooSlow): a job that would be late there waits for resources in its rack for maxSpeedWaitShare of its
+// slack, and uses any free worker after that. A job that would be in time there does not wait.
 //
-// Reason: while many jobs want one rack, those that can be in time elsewhere leave it to those that cannot, and nobody is refused while
-// another rack has room.
+// Reason: when a rack is in demand, jobs that can be in time elsewhere leave it to those that cannot, and no job is
+// refused while another rack has free resources.
 
-// farFactor returns by how many times a task of a step takes longer at an agent for the distance from its data.
-func (j *job) farFactor(step int, a *agent) float64 {
+// rackFactor returns the ratio of a task's run time at an agent to that in the rack of its data.
+func (j *job) rackFactor(step int, a *agent) float64 {
 	rack := j.Steps[step].Rack
-	if rack == "" || j.farTimes <= 1 || a.record.HasLabel(rack) {
+	if rack == "" || j.crossRackFactor <= 1 || a.record.HasLabel(rack) {
 		return 1
 	}
-	return j.farTimes
+	return j.crossRackFactor
 }
 
-// expectedAt returns the time of a run of a step by which an agent may judge its worker, without the worker's own time factor, or zero.
+// expectedAt returns the run time of a step against which an agent may judge the health of its worker, without the
+// worker's own time factor. It is zero if too little is known.
 func (j *job) expectedAt(step int, a *agent) time.Duration {
-	return time.Duration(j.farFactor(step, a) * float64(j.times[step].forHealth()))
+	return time.Duration(j.rackFactor(step, a) * float64(j.times[step].forHealth()))
 }
 
-// estimateAt returns the estimated time of a run of a step at an agent, without the worker's own time factor.
+// estimateAt returns the estimated run time of a step at an agent, without the worker's own time factor.
 func (j *job) estimateAt(step int, a *agent) time.Duration {
-	return time.Duration(j.farFactor(step, a) * float64(j.times[step].task))
+	return time.Duration(j.rackFactor(step, a) * float64(j.times[step].task))
 }
 
-// timeAt returns how long a task of a step is expected to take at an agent whose worker is healthy.
+// timeAt returns the expected run time of a step at an agent whose worker is healthy.
 func (j *job) timeAt(step int, a *agent) time.Duration {
 	return a.usualTime(j.estimateAt(step, a))
 }
 
 // chainAt returns the expected time of the longest chain of steps at an agent whose worker is healthy.
 func (j *job) chainAt(a *agent) time.Duration {
-	return a.usualTime(j.longestChain(func(step int) float64 { return j.farFactor(step, a) }))
+	return a.usualTime(j.longestChain(func(step int) float64 { return j.rackFactor(step, a) }))
 }
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -10,67 +10,71 @@
 	"sailhead/internal/learned"
 )
 
-// This file estimates how long the tasks of a job will run.
+// This file estimates the run times of the tasks of a job.
 //
-// Inputs: the caller's guess of one task's time, and for each kind the guesses and the run times of the latest steps that
-// were done.
+// Inputs: the caller's guess of a task's run time, and for each kind the guesses and the run times of the latest
+// completed steps.
 //
-// Rule: for each kind, a linear regression of the run time on the guess, both as logarithms, over the latest steps; the
-// estimate is the run time that it gives for the guess. Without steps that were done it is the guess. The longest run of
-// a step is estimated from the mean run by their usual ratio.
+// Rule: for each kind, a linear regression of the logarithm of the run time on the logarithm of the guess over the
+// latest steps; the estimate is the run time that it predicts for the guess. Before the first completed step the
+// estimate is the guess itself. The longest run of a step is estimated from the mean run by their average ratio.
 //
-// Reason: how good a guess is differs from customer to customer. The regression corrects guesses that are usually too
-// short or too long, follows those that tell jobs apart, and falls back to the kind's usual time for those that do not.
+// Reason: the quality of guesses differs between customers. The regression corrects guesses that are consistently too
+// short or too long, follows guesses that correlate with the run times, and falls back to the kind's mean for guesses
+// that do not.
 
 const (
-	// runTimeWeight is the weight of one step in the moving averages once there are enough; it makes them follow a change of a kind within
-	// some 50 steps.
+	// runTimeWeight is the least weight of one step in the moving averages, which follow a change of a kind within about
+	// 50 steps.
 	runTimeWeight = 0.02
-	// priorSteps is how many steps the assumption counts for that guesses are right.
+	// priorSteps is the weight, in steps, of the prior assumption that guesses are right.
 	priorSteps = 4
-	// priorVariance is the variance of the logarithm of the guesses that goes with it: most guesses of a kind are within a factor of 1.5.
+	// priorVariance is the variance of the logarithm of the guesses under that assumption: most guesses of a kind are
+	// within a factor of 1.5.
 	priorVariance = 0.16
-	// learnedSteps is from how many steps an estimate is good enough to judge a worker by.
-	learnedSteps = 10
-	minRunTime   = learned.ShortestTime
+	// minLearnedSteps is the least number of steps for an estimate that is accurate enough to judge a worker's health by.
+	minLearnedSteps = 10
+	minRunTime      = learned.ShortestTime
 )
 
-// stepTime is the estimate for a step.
-type stepTime struct {
-	// isLearned is set if the estimate rests on learnedSteps steps or more.
+// stepEstimate holds the estimated run times of a step.
+type stepEstimate struct {
+	// isLearned is set if the estimate is based on minLearnedSteps steps or more.
 	isLearned bool
-	// task is the time of one run.
+	// task is the mean run time of the step's tasks.
 	task time.Duration
-	// longest is the time of the longest of its runs.
+	// longest is the run time of the longest of them.
 	longest time.Duration
 }
 
-// forHealth returns the time of one run by which an agent may judge its worker, or zero. A guess says too little.
-func (s stepTime) forHealth() time.Duration {
+// forHealth returns the run time against which an agent may judge the health of its worker. It is zero if the estimate
+// is not learned, as a guess alone is not accurate enough.
+func (s stepEstimate) forHealth() time.Duration {
 	if !s.isLearned {
 		return 0
 	}
 	return s.task
 }
 
-// runTimes holds what is known of the run times of each kind, by the kind's name.
+// runTimes holds the regression for each kind, by the kind's name.
 type runTimes map[string]*runTime
 
 // runTime is the regression for one kind.
 type runTime struct{ learned.RunTime }
 
-// estimate returns the times of a step for the caller's guess of one task's time, zero if the caller gave none.
-func (r runTimes) estimate(kind string, guess time.Duration) stepTime {
+// estimate returns the estimate for a step. guess is the caller's guess of a task's run time, zero if there is none.
+func (r runTimes) estimate(kind string, guess time.Duration) stepEstimate {
 	known, ok := r[kind]
 	if !ok {
-		return stepTime{task: guess, longest: guess}
+		return stepEstimate{task: guess, longest: guess}
 	}
 	task := known.task(guess)
 	longest := time.Duration(known.Unevenness * float64(task))
-	return stepTime{isLearned: known.Steps >= learnedSteps, task: task, longest: longest}
+	return stepEstimate{isLearned: known.Steps >= minLearnedSteps, task: task, longest: longest}
 }
 
-// observe learns from a step that was done: the guess of one task's time, the mean and the longest of its runs.
+// observe updates the regression of a kind with a completed step: the guess of a task's run time, the mean and the
+// longest of the runs.
 func (r runTimes) observe(kind string, guess, mean, longest time.Duration) {
 	mean = max(mean, minRunTime)
 	known, ok := r[kind]
@@ -82,41 +86,42 @@
 	known.Unevenness += known.weight() * (float64(longest)/float64(mean) - known.Unevenness)
 }
 
-// newRunTime returns a regression that trusts guesses. It is centred on the first one.
+// newRunTime returns a regression centred on the first guess, with a prior of slope 1: it predicts the guess itself.
 func newRunTime(guess time.Duration) *runTime {
-	x := logarithm(guess)
+	x := logSeconds(guess)
 	return &runTime{learned.RunTime{Guess: x, Actual: x, Variance: priorVariance, Covariance: priorVariance, Unevenness: 1}}
 }
 
-// weight returns the weight of the next step.
+// weight returns the weight of the latest step in the moving averages.
 func (t *runTime) weight() float64 {
 	return max(1/float64(t.Steps+priorSteps), runTimeWeight)
 }
 
 func (t *runTime) observe(guess, mean time.Duration) {
 	t.Steps++
-	weight, y := t.weight(), logarithm(mean)
-	toActual := y - t.Actual
-	t.Actual += weight * toActual
+	weight, y := t.weight(), logSeconds(mean)
+	actualDelta := y - t.Actual
+	t.Actual += weight * actualDelta
 	if guess <= 0 {
 		return
 	}
-	toGuess := logarithm(guess) - t.Guess
-	t.Guess += weight * toGuess
-	t.Variance = (1 - weight) * (t.Variance + weight*toGuess*toGuess)
-	t.Covariance = (1 - weight) * (t.Covariance + weight*toGuess*toActual)
+	guessDelta := logSeconds(guess) - t.Guess
+	t.Guess += weight * guessDelta
+	t.Variance = (1 - weight) * (t.Variance + weight*guessDelta*guessDelta)
+	t.Covariance = (1 - weight) * (t.Covariance + weight*guessDelta*actualDelta)
 }
 
-// task returns the expected time of one run for a guess.
+// task returns the expected run time for a guess, zero if there is none.
 func (t *runTime) task(guess time.Duration) time.Duration {
 	expected := t.Actual
 	if guess > 0 {
-		expected += t.slope() * (logarithm(guess) - t.Guess)
+		expected += t.slope() * (logSeconds(guess) - t.Guess)
 	}
 	return time.Duration(math.Exp(expected) * float64(time.Second))
 }
 
-// slope returns by how much the run time grows with the guess: 1 if guesses tell jobs apart exactly, 0 if they do not.
+// slope returns the slope of the regression, limited to 0 to 1: 1 if run times are proportional to the guesses, 0 if they
+// do not depend on them.
 func (t *runTime) slope() float64 {
 	if t.Variance <= 0 {
 		return 0
@@ -124,11 +129,12 @@
 	return min(max(t.Covariance/t.Variance, 0), 1)
 }
 
-func logarithm(d time.Duration) float64 {
+func logSeconds(d time.Duration) float64 {
 	return math.Log(max(d, minRunTime).Seconds())
 }
 
-// observeStep learns from a step whose tasks are all done, if each of them ran once, on a healthy worker.
+// observeStep updates the run times of a kind with a step whose tasks are all done, if each of them ran once and on a
+// healthy worker.
 func (d *Dispatcher) observeStep(now time.Time, j *job, step int) {
 	var sum, longest time.Duration
 	for _, t := range j.tasks {
@@ -142,6 +148,6 @@
 		longest = max(longest, t.runTime)
 	}
 	mean := sum / time.Duration(j.Steps[step].Count)
-	d.lastSteps[j.Kind.Name] = now
+	d.lastStepTimes[j.Kind.Name] = now
 	d.runTimes.observe(j.Kind.Name, j.Steps[step].Expected, mean, longest)
 }
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -18,17 +18,17 @@
 // Waiter identifies a request that waits for an answer.
 type Waiter uint64
 
-// Job is a job as its caller submitted it.
+// Job is a job as submitted by its caller.
 type Job struct {
 	ID   string
 	Kind Kind
-	// Received is when the entry received the request, zero if that is when it is submitted.
+	// Received is when the entry received the request, zero for the time of the Submitted event.
 	Received time.Time
-	// RemainingTime is how long the caller still waited at Received, zero if it did not say.
+	// RemainingTime is how much longer the caller will wait after Received, zero if it did not say.
 	RemainingTime time.Duration
-	// IsHandedOver is set if another entry has handed the job over, so it is not handed over again.
+	// IsHandedOver is set if another entry handed the job over to this one. It is not handed over again.
 	IsHandedOver bool
-	// Zone is the availability zone of the caller if that is not the entry's own, empty otherwise.
+	// Zone is the availability zone of the caller if it differs from the entry's own, empty otherwise.
 	Zone string
 	// Payload is passed to every task.
 	Payload string
@@ -41,72 +41,73 @@
 	Service string
 	// Priority is 0 for the most urgent jobs.
 	Priority int
-	// Weight is that of the kind in the shares of workers, zero for 1.
+	// Weight is the weight of the kind in the shares of workers, zero for 1.
 	Weight float64
-	// Attempts is how many runs of a task may fail. Use MaxAttempts, which treats 0 as 1.
+	// Attempts is the number of failed runs of a task that end its job. Use MaxAttempts, which treats 0 as 1.
 	Attempts int
-	// Stretch and Target set the objective of a job: Stretch times the expected time of its longest chain of steps,
-	// plus Target.
+	// Stretch and Target define the objective of a job: Stretch times the expected time of its critical path, plus
+	// Target.
 	Stretch float64
 	Target  time.Duration
-	// Timeout is the operators' time limit of a job, zero if there is none. Jobs are not ended by it; retry.go takes it
-	// as the shortest time that a caller waits.
+	// Timeout is the operators' time limit for a job, zero if there is none. It does not end jobs; retry.go uses it as
+	// the shortest time that a caller waits.
 	Timeout time.Duration
 }
 
-// Step is a number of equal tasks of a job.
+// Step is a group of identical tasks of a job.
 type Step struct {
 	Count int
 	Needs worker.Resources
-	// Expected is the caller's guess of one task's time, zero if it gave none. Use job.times, which corrects it.
+	// Expected is the caller's guess of a task's run time, zero if it gave none. Use job.times, which corrects it.
 	Expected time.Duration
-	// After lists the steps, by their index, that must be done before this one begins. They come earlier in the job.
+	// After lists the indexes of the steps that must be done before this one starts. They come earlier in the job.
 	After []int
 	// Label is a label that the worker must have, empty for any worker.
 	Label string
-	// Rack is a label of the workers that are preferred, empty for no preference.
+	// Rack is a label of preferred workers, empty for no preference.
 	Rack string
-	// PerWorker bounds the tasks of the step on one worker, zero for no bound.
+	// PerWorker is the largest number of the step's tasks on one worker, zero for no limit.
 	PerWorker int
 }
 
-// job is a job under way.
+// job is a job in progress.
 type job struct {
 	Job
-	// waiters are the requests that wait for the answer, none for a durable job.
+	// waiters are the requests that wait for the answer. A durable job has none.
 	waiters []Waiter
 	arrived time.Time
-	// number counts the jobs in the order of their arrival.
+	// number is the sequence number of the job in the order of arrival.
 	number uint64
-	// times are the estimated times of the steps.
-	times []stepTime
-	// farTimes is by how many times a task takes longer on a worker of another rack than that of its data; see distance.go.
-	farTimes float64
-	// objective is the time after the arrival within which the job should be answered.
+	// times are the estimated run times of the steps.
+	times []stepEstimate
+	// crossRackFactor is Limits.CrossRackFactor; see distance.go.
+	crossRackFactor float64
+	// objective is the time from arrival within which the job should be answered.
 	objective time.Duration
-	// startBy is the latest start with which the job can be done within its objective.
+	// startBy is the latest start that lets the job complete within its objective.
 	startBy time.Time
 	tasks   []*task
-	// open counts the tasks of each step that are not done.
+	// open holds the number of tasks of each step that are not done.
 	open []int
 	// isDurable is set if package durable records the job and answers its callers.
 	isDurable bool
-	// recoveredAt is when the runs that an earlier owner of a durable job started have ended, zero if there was none.
+	// recoveredAt is when the runs that an earlier owner of a durable job started have ended at the latest, zero if
+	// there was none.
 	recoveredAt time.Time
 	// lateRetry is set if the caller seems to have submitted the job before, too long ago; see retry.go.
 	lateRetry bool
-	// reservation is what the job has reserved while it waits for resources.
+	// reservation holds what the job has reserved while it waits for resources.
 	reservation reservation
-	// queue is that of the kind; use forecasts.of.
+	// queue is the queue of the job's kind. Use forecasts.of.
 	queue *kindQueue
-	// expected is the forecast with which the job was accepted, zero if none of its kind waited.
+	// expected is the forecast with which the job was accepted, zero if no job of its kind was waiting.
 	expected forecast.Forecast
 	// begun is set once a task may have run.
 	begun bool
 	// handOvers is how many times the job was handed over.
 	handOvers int
-	// handOver is the number of the latest hand-over to another entry, and handedOverAt its time. isTaken is set once that entry has taken the
-	// job, and takenBy is the entry's name.
+	// handOver is the number of the latest hand-over, and handedOverAt its time. isTaken is set once another entry has
+	// accepted the job, and takenBy is that entry's name.
 	handOver     uint64
 	handedOverAt time.Time
 	isTaken      bool
@@ -135,33 +136,34 @@
 	return j
 }
 
-// newJob returns a job that arrives at a time, with the estimates and the settings of the entry.
+// newJob returns a job that arrives at now, with the estimates and the settings of the entry.
 func (d *Dispatcher) newJob(now time.Time, submitted Job) *job {
 	j := newJob(now, submitted, d.runTimes)
-	j.farTimes = d.limits.CrossRackFactor
+	j.crossRackFactor = d.limits.CrossRackFactor
 	return j
 }
 
-// chain returns the expected time of the longest chain of steps.
+// chain returns the expected time of the job's critical path, which is its longest chain of dependent steps.
 func (j *job) chain() time.Duration {
 	return j.longestChain(func(int) float64 { return 1 })
 }
 
-// longestChain returns the expected time of the longest chain of steps if each takes a number of times as long.
-func (j *job) longestChain(times func(step int) float64) time.Duration {
+// longestChain returns the expected time of the critical path if the time of each step is multiplied by a factor.
+func (j *job) longestChain(factor func(step int) float64) time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i, step := range j.Steps {
 		for _, earlier := range step.After {
 			ends[i] = max(ends[i], ends[earlier])
 		}
-		ends[i] += time.Duration(times(i) * float64(j.times[i].longest))
+		ends[i] += time.Duration(factor(i) * float64(j.times[i].longest))
 		longest = max(longest, ends[i])
 	}
 	return longest
 }
 
-// urgency returns the job's place among the jobs of all entries. A late retry can no longer be in time.
+// urgency returns the key by which the jobs of all entries are ordered. The order of a late retry, which can no longer
+// be in time, is by its arrival.
 func (j *job) urgency() runner.Urgency {
 	u := runner.Urgency{HasStarted: j.everSent, Priority: j.Kind.Priority, StartBy: j.startBy}
 	if j.lateRetry {
@@ -170,12 +172,12 @@
 	return u
 }
 
-// canUse reports whether resources suffice for a task of some step.
+// canUse reports whether the resources suffice for a task of at least one step.
 func (j *job) canUse(free worker.Resources) bool {
 	return slices.ContainsFunc(j.Steps, func(step Step) bool { return step.Needs.Fits(free) })
 }
 
-// isReady reports whether the steps before a step are done.
+// isReady reports whether all steps that a step depends on are done.
 func (j *job) isReady(step int) bool {
 	for _, earlier := range j.Steps[step].After {
 		if j.open[earlier] > 0 {
@@ -208,7 +210,7 @@
 	return false
 }
 
-// task returns the task of a name, or nil.
+// task returns the task with a name, or nil if there is none.
 func (j *job) task(name string) *task {
 	for _, t := range j.tasks {
 		if t.name == name {
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -9,9 +9,9 @@
 	"sailhead/internal/learned"
 )
 
-// This file shares what the entry learns of kinds with other entries. How records of two entries are merged is decided by package learned.
+// This file exchanges what entries learn about kinds. Package learned merges the records of two entries.
 
-// Learned returns what the entry has learned of the kinds whose jobs it served lately.
+// Learned returns what the entry has learned about the kinds whose jobs it served recently.
 func (d *Dispatcher) Learned(now time.Time) []learned.Kind {
 	kinds := make([]learned.Kind, 0, len(d.runTimes))
 	for name := range d.runTimes {
@@ -20,24 +20,24 @@
 	return learned.Latest(kinds)
 }
 
-// learnedOf returns what the entry has learned of a kind.
+// learnedOf returns what the entry has learned about a kind.
 func (d *Dispatcher) learnedOf(now time.Time, name string) learned.Kind {
 	k := learned.Kind{Name: name, CallerTime: learned.CallerTime{Usual: d.callerTimes[name]}}
 	if known, ok := d.runTimes[name]; ok {
-		k.RunTime, k.Age = known.RunTime, now.Sub(d.lastSteps[name])
+		k.RunTime, k.Age = known.RunTime, now.Sub(d.lastStepTimes[name])
 	}
 	return k
 }
 
-// learn takes in what another entry has learned.
-func (d *Dispatcher) learn(now time.Time, kinds []learned.Kind) {
+// mergeLearned merges what another entry has learned into the state of this one.
+func (d *Dispatcher) mergeLearned(now time.Time, kinds []learned.Kind) {
 	for _, other := range kinds {
 		if !other.IsUsable() {
 			continue
 		}
 		merged := d.learnedOf(now, other.Name).Merge(other)
 		d.runTimes[other.Name] = &runTime{merged.RunTime}
-		d.lastSteps[other.Name] = now.Add(-merged.Age)
+		d.lastStepTimes[other.Name] = now.Add(-merged.Age)
 		if merged.CallerTime.Usual > 0 {
 			d.callerTimes[other.Name] = merged.CallerTime.Usual
 		}
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// minGain is the least time that a move must gain, as a part of the expected time of a run; see isStuck. Estimates are often off by as
-	// much.
-	minGain = 0.5
-	// maxMoves bounds how often a task is moved.
+	// minMoveGain is the least time that a move must save, as a fraction of the expected run time; see isStuck. Estimates are
+	// often wrong by as much.
+	minMoveGain = 0.5
+	// maxMoves is the largest number of moves of a task.
 	maxMoves = 2
 )
 
-// moveStuckRuns stops stuck runs that a healthy worker could run. Once the agent reports the stop, the task is placed
-// again, on another worker if possible; as a task of a job that has begun it gets the next resources that become free.
+// moveStuckRuns stops stuck runs that a healthy worker could run. Once the agent has reported the stop, the task is
+// placed again, on another worker if possible. Because its job has started, it gets the next resources that become free.
 func (d *Dispatcher) moveStuckRuns(now time.Time) {
 	if !d.hasUnhealthyWorker() {
 		return
@@ -42,17 +42,17 @@
 	return false
 }
 
-// isStuck reports whether a task's run on an unhealthy worker would end sooner, and still in time, on another one.
+// isStuck reports whether a task whose run is on an unhealthy worker would end sooner, and still in time, on another one.
 //
-// Inputs: the time since the run was sent, the expected time of the task, the slowness of the worker, how often the task
-// was moved, the expiry of the job.
+// Inputs: the time since the run was sent, the expected run time of the task, the slowness of the worker, the number of
+// times the task was moved, the expiry of the job.
 //
-// Rule: the worker is unhealthy; a stop and a new run take less time than the run still needs here (timeLeft), by minGain
-// of the expected time; the task was not moved maxMoves times or from this worker before; and a new run would end before
-// the job expires. Durable jobs do not expire.
+// Rule: the worker is unhealthy; a stop and a new run take less time than the current run still needs (timeLeft), by at
+// least minMoveGain of the expected run time; the task was moved fewer than maxMoves times and does not avoid this worker
+// yet; and a new run would end before the job expires. Durable jobs do not expire.
 //
-// Reason: jobs waited for runs on slow or hanging workers. The rule depends on the worker's health because the expected
-// time of a single run is often wrong by a factor of two.
+// Reason: without moves, jobs wait for runs on slow or hanging workers. The rule depends on the worker's health because
+// the expected time of a single run is often wrong by a factor of two.
 func (d *Dispatcher) isStuck(now time.Time, j *job, t *task) bool {
 	if t.state != taskSent || t.moves >= maxMoves || t.avoids(t.agent) {
 		return false
@@ -64,18 +64,18 @@
 	expected := j.times[t.step].task
 	gain := a.timeLeft(j.timeAt(t.step, a), now.Sub(t.placed)) - timing.StopTime - expected
 	isInTime := j.isDurable || now.Add(expected).Before(j.expiresAt())
-	return float64(gain) > minGain*float64(expected) && isInTime
+	return float64(gain) > minMoveGain*float64(expected) && isInTime
 }
 
-// timeLeft returns how much longer a run that was sent elapsed ago is expected to take on the worker: the rest of the
-// time that it usually takes there, as often as the worker is slow. A run that has lasted longer than that is expected to take
-// as long again as it is over it.
+// timeLeft returns how much longer a run that was sent elapsed ago is expected to take on the worker: the usual time
+// multiplied by the worker's slowness, minus elapsed. A run that has exceeded this time is expected to take as long again
+// as it has exceeded it by.
 func (a *agent) timeLeft(usual, elapsed time.Duration) time.Duration {
 	left := time.Duration(a.load.Slowness*float64(usual)) - elapsed
 	return left.Abs()
 }
 
-// moveRun stops the run of a task to run it elsewhere.
+// moveRun stops the run of a task, so that the task runs again on another worker.
 func (d *Dispatcher) moveRun(now time.Time, j *job, t *task) {
 	t.moves++
 	t.avoidAgent()
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -15,14 +15,16 @@
 //
 // Inputs: the waiting jobs in the order of compareJobs, the free resources of the workers.
 //
-// Rule: each job gets as many of the free resources as it can use. If some of its tasks found none, it reserves them, and
-// so does every later job of the same service, whatever is free, but for those that may find some all the same (headroom.go, plan).
+// Rule: each job gets as many of the free resources as it can use. If some of its tasks found none, it reserves resources.
+// So does every later job of the same service, regardless of what is free, except jobs that can still use resources that
+// the earlier ones could not (headroom.go, plan).
 //
-// Reason: a job of many tasks would be refused while workers have resources for some of the tasks, and later jobs would wait for
-// them meanwhile. Agents give what becomes free to the reservation that comes first of those of all entries (package runner).
+// Reason: a job that waited until all its tasks fit would be refused while workers have resources for some of them, and
+// would make later jobs wait in the meantime. Agents offer what becomes free to the first of the reservations of all
+// entries (package runner).
 //
-// It runs only if isPlaceDue, as each call visits every waiting job and every worker. Most events are loads by which less is
-// free, or by which the free resources are reserved: none of these can place a task.
+// It runs only if isPlaceDue, because each call visits every waiting job and every worker. Most events are loads that
+// report fewer free resources or only reserved ones, and cannot lead to a placement.
 func (d *Dispatcher) place(now time.Time) {
 	if len(d.agents) == 0 {
 		return
@@ -40,8 +42,8 @@
 	}
 }
 
-// mayPlace reports whether tasks of a job may be placed now. Jobs that may not do not hold up later ones. One that has expired
-// waits for its end with the next tick, which is late after a suspension of the VM.
+// mayPlace reports whether tasks of a job may be placed now. Jobs that may not be placed do not block later ones. An
+// expired job is ended by the next tick, which can come late after the VM was suspended.
 func (d *Dispatcher) mayPlace(now time.Time, j *job) bool {
 	switch {
 	case j.isDurable:
@@ -55,20 +57,20 @@
 	}
 }
 
-// placeJob places the tasks of a job that may run now, unless its service is full, and reserves for those that found no
-// worker. It returns the room that later jobs of the service may find.
+// placeJob places the tasks of a job that may run now, unless its service is full, and reserves resources for those that
+// found no worker. It returns the room that is left for later jobs of the service.
 func (d *Dispatcher) placeJob(now time.Time, j *job, isFull bool) room {
-	tasks, left := d.placeable(now, j), roomForOthers
+	tasks, roomLeft := d.placeable(now, j), roomForOthers
 	if free := d.withoutOffer(j, tasks); !isFull && len(free) > 0 {
 		var placements []placement
-		placements, left = d.plan(now, j, free)
+		placements, roomLeft = d.plan(now, j, free)
 		for _, p := range placements {
 			d.send(now, p)
 		}
 		tasks = d.placeable(now, j)
 	}
 	if len(tasks) > 0 && d.isContained(j) {
-		// It reserves nothing, as all agents of its kind are tried again soon, and holds up no later job.
+		// A contained job reserves nothing, as all agents of its kind are tried again soon, and blocks no later job.
 		return roomForOthers
 	}
 	if len(tasks) > 0 {
@@ -76,7 +78,7 @@
 		if len(d.withoutOffer(j, tasks)) == 0 {
 			return roomForOthers
 		}
-		return left
+		return roomLeft
 	}
 	d.cancelReservations(j)
 	if j.everSent {
@@ -96,7 +98,7 @@
 	return tasks
 }
 
-// isEnding reports whether a run of the task from an earlier submission of its job may not have ended.
+// isEnding reports whether a run of the task that an earlier submission of its job started may not have ended.
 func (d *Dispatcher) isEnding(t *task) bool {
 	_, ok := d.endingRuns[t.name]
 	return ok
@@ -124,8 +126,8 @@
 	d.emit(j.decisionMade(now, DecisionPlaced{Expected: expected}).withRun(t.name, t.run, t.agent))
 }
 
-// claimed returns the resources that are not free once a task is sent, until the next load counts it: its needs, or all that
-// is free for a suspect or a contained job, as the agent starts nothing beside it.
+// claimed returns the resources that a placement takes from an agent until the next load includes its start: the needs
+// of the task, or all free resources for a suspect or a contained job, as the agent runs it alone.
 func (d *Dispatcher) claimed(p placement) worker.Resources {
 	needs := p.job.Steps[p.task.step].Needs
 	if free := p.agent.free(); (d.isSuspect(p.task) || d.isContained(p.job)) && needs.Fits(free) {
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -14,41 +14,41 @@
 	"sailhead/internal/worker"
 )
 
-// The rank of a worker for a task is the sum of the weights that apply. Each weight is larger than the sum of the smaller ones, so a worker
-// where the task did not fail comes before any where it did, and so on.
+// The rank of a worker for a task is the sum of the weights that apply. Each weight is larger than the sum of the smaller
+// ones, so the criteria are compared in this order.
 const (
-	// rankNotAvoided: no run of the task failed on the worker or was stopped there because it took too long.
+	// rankNotAvoided applies if no run of the task failed on the worker or was stopped there because it took too long.
 	rankNotAvoided = 4
-	// rankHealthy: the worker is healthy; see health.go.
+	// rankHealthy applies if the worker is healthy; see health.go.
 	rankHealthy = 2
-	// rankRack: the worker has the rack label of the step.
+	// rankRack applies if the worker has the rack label of the step.
 	rankRack = 1
 )
 
-// placement is a task and the agent that is to run it.
+// placement is a task and the agent that will run it.
 type placement struct {
 	job   *job
 	task  *task
 	agent *agent
-	// offer is the offer whose resources the task uses, zero for none.
+	// offer is the offer whose resources the task uses, zero if it uses none.
 	offer runner.OfferID
 }
 
-// candidate is an agent whose worker may get tasks of the job.
+// candidate is an agent that may get tasks of the job.
 type candidate struct {
 	agent *agent
-	// free are the resources that the plan has left.
+	// free holds the free resources of its worker that the plan has not used yet.
 	free worker.Resources
-	// headroom is what tasks have to leave of it for shorter ones.
+	// headroom holds the resources that longer tasks have to leave free for shorter ones.
 	headroom []shares.Bound
 }
 
-// spareShare is the part, 0 to 1, of its CPU that is free at least on a worker that is nearly free.
-const spareShare = 0.7
+// minIdleCPUShare is the fraction of a worker's CPU that has to be free for the worker to count as nearly idle.
+const minIdleCPUShare = 0.7
 
-// spareFactor returns the time factor of a worker that is nearly free, and a larger one than any for others.
-func (c *candidate) spareFactor() float64 {
-	if float64(c.free.CPU) < spareShare*float64(c.agent.record.Capacity.CPU) {
+// idleTimeFactor returns the time factor of a nearly idle worker, and infinity for others.
+func (c *candidate) idleTimeFactor() float64 {
+	if float64(c.free.CPU) < minIdleCPUShare*float64(c.agent.record.Capacity.CPU) {
 		return math.Inf(1)
 	}
 	return c.agent.timeFactor
@@ -61,41 +61,44 @@
 	placements []placement
 	// isSuspect reports whether a worker has crashed under a task.
 	isSuspect func(*task) bool
-	// hasLeftOut is set if an ejected worker had room for a task that must not fail again.
-	hasLeftOut bool
-	// left is the room for tasks that are shorter than those that have to leave some.
-	left room
+	// hasExcluded is set if an ejected worker had resources but was excluded because the task must not fail again.
+	hasExcluded bool
+	// roomLeft is the room for tasks shorter than those that had to leave resources free, roomForNone if none had to.
+	roomLeft room
 }
 
-// plan chooses workers for as many of the tasks as there are resources. The tasks are in the order of their steps.
+// plan chooses workers for as many of the tasks as there are resources for. The tasks are in the order of their steps.
 //
 // Inputs: the needs (worker.Resources), labels and bounds of the steps; the free resources, labels and health of the
 // workers that accept tasks of the service.
 //
 // Rule: of the workers with the label of the step, those with the highest rank; of these the one that can run the most
-// of the remaining tasks of the step; of these the fastest one that is nearly free (candidate.spareFactor). Ties are broken at random.
+// of the remaining tasks of the step; of these the fastest nearly idle one (candidate.idleTimeFactor). Ties are broken at
+// random.
 //
-// Reason: a job suffers from each of its workers that fails, so it is placed on as few as possible. It is answered sooner by a fast one, but
-// once these are in use they are left to the long jobs that are late elsewhere. With the random order, entries do not all choose the same worker.
+// Reason: the failure of any of its workers delays a job, so it is placed on as few as possible. A fast worker answers it
+// sooner, but fast workers that are already in use are left to long jobs that would be late elsewhere. The random order
+// prevents all entries from choosing the same worker.
 //
-// left is the room that other jobs may find although this one does not.
-func (d *Dispatcher) plan(now time.Time, j *job, tasks []*task) (placements []placement, left room) {
-	hasLeftOut := d.gatherCandidates(now, j)
+// roomLeft is the room for other jobs if this one does not find enough.
+func (d *Dispatcher) plan(now time.Time, j *job, tasks []*task) (placements []placement, roomLeft room) {
+	hasExcluded := d.collectCandidates(now, j)
 	p := planner{job: j, candidates: d.candidates, isSuspect: d.isSuspect}
 	for len(tasks) > 0 {
-		group := sameStep(tasks)
+		group := firstStepTasks(tasks)
 		p.placeGroup(group)
 		tasks = tasks[len(group):]
 	}
-	if hasLeftOut || p.hasLeftOut {
+	if hasExcluded || p.hasExcluded {
 		return p.placements, roomForOthers
 	}
-	return p.placements, p.left
+	return p.placements, p.roomLeft
 }
 
-// gatherCandidates collects the agents that accept tasks of a job, in random order. Those whose worker is too slow for the
-// job are left out, unless all are that could run it. It reports whether a healthy one was.
-func (d *Dispatcher) gatherCandidates(now time.Time, j *job) (hasLeftOut bool) {
+// collectCandidates collects the agents that accept tasks of a job in d.candidates, in random order. Agents whose worker
+// is too slow for the job are excluded, unless no other worker could run it. It reports whether a healthy one was
+// excluded.
+func (d *Dispatcher) collectCandidates(now time.Time, j *job) (hasExcluded bool) {
 	d.candidates = d.candidates[:0]
 	var slow []candidate
 	for _, a := range d.ordered {
@@ -105,7 +108,7 @@
 		c := candidate{agent: a, free: a.unreserved(), headroom: d.headroomAt(a)}
 		if a.isTooSlow(now, j) {
 			slow = append(slow, c)
-			hasLeftOut = hasLeftOut || a.isHealthy()
+			hasExcluded = hasExcluded || a.isHealthy()
 		} else {
 			d.candidates = append(d.candidates, c)
 		}
@@ -113,16 +116,16 @@
 	canRun := func(c candidate) bool { return j.canRunOn(c.agent.record) }
 	if !slices.ContainsFunc(d.candidates, canRun) {
 		d.candidates = append(d.candidates, slow...)
-		hasLeftOut = false
+		hasExcluded = false
 	}
 	d.random.Shuffle(len(d.candidates), func(i, k int) {
 		d.candidates[i], d.candidates[k] = d.candidates[k], d.candidates[i]
 	})
-	return hasLeftOut
+	return hasExcluded
 }
 
-// sameStep returns the tasks at the beginning that belong to one step.
-func sameStep(tasks []*task) []*task {
+// firstStepTasks returns the leading tasks that belong to the same step as the first one.
+func firstStepTasks(tasks []*task) []*task {
 	for i, t := range tasks {
 		if t.step != tasks[0].step {
 			return tasks[:i]
@@ -139,21 +142,22 @@
 		if count == 0 {
 			return
 		}
-		count = p.untilSuspect(group[:count])
+		count = p.countUntilSuspect(group[:count])
 		for _, t := range group[:count] {
 			p.placements = append(p.placements, placement{job: p.job, task: t, agent: best.agent})
 		}
 		best.free = best.free.Minus(needs.Times(count))
 		if p.isSuspect(group[count-1]) {
-			// The agent starts nothing beside it.
+			// The agent runs a suspect alone.
 			best.free = worker.Resources{}
 		}
 		group = group[count:]
 	}
 }
 
-// untilSuspect returns how many of the tasks come before the end of the first suspect: nothing is started beside it.
-func (p *planner) untilSuspect(tasks []*task) int {
+// countUntilSuspect returns how many of the tasks may be placed together: those up to and including the first suspect, as
+// nothing is started beside a suspect.
+func (p *planner) countUntilSuspect(tasks []*task) int {
 	for i, t := range tasks {
 		if p.isSuspect(t) {
 			return i + 1
@@ -162,8 +166,8 @@
 	return len(tasks)
 }
 
-// best returns the best worker for tasks of one step and how many of them it can run, or 0 if there is none. The rank
-// is that for the first task.
+// best returns the best worker for tasks of one step and how many of them it can run, or 0 if there is none. Workers are
+// ranked for the first task.
 func (p *planner) best(group []*task) (best *candidate, count int) {
 	step := p.job.Steps[group[0].step]
 	var bestRank int
@@ -182,12 +186,14 @@
 	return best, count
 }
 
-// minSpeedRatio is the ratio of the time factors of two workers from which one is faster, as they are averages.
+// minSpeedRatio is the least ratio of two time factors that counts as a difference in speed, as the factors are
+// averages.
 const minSpeedRatio = 1.1
 
-// compareSpeed returns a positive number if tasks are better placed on c than on other for its speed, and 0 if that does not matter.
+// compareSpeed compares two candidates by the speed of their workers. It returns a positive number if c is preferred, and
+// 0 if there is no relevant difference.
 func compareSpeed(other, c *candidate) int {
-	own, others := c.spareFactor(), other.spareFactor()
+	own, others := c.idleTimeFactor(), other.idleTimeFactor()
 	if own*minSpeedRatio > others && others*minSpeedRatio > own || math.IsInf(own, 1) && math.IsInf(others, 1) {
 		return 0
 	}
@@ -203,7 +209,7 @@
 	fits := step.Needs.Count(p.freeFor(c, group[0].step), len(group))
 	if spare := p.job.countSpare(group); c.agent.load.IsEjected && !c.agent.isWithoutOther && spare < fits {
 		fits = spare
-		p.hasLeftOut = true
+		p.hasExcluded = true
 	}
 	if step.PerWorker > 0 {
 		fits = min(fits, step.PerWorker-p.countAt(c.agent, group[0].step))
@@ -211,19 +217,20 @@
 	return fits
 }
 
-// freeFor returns what tasks of a step may use of a worker's free resources, and notes if they have to leave any.
+// freeFor returns the free resources of a worker that tasks of a step may use, without its headroom for shorter tasks. If
+// there is headroom, it updates p.roomLeft.
 func (p *planner) freeFor(c *candidate, step int) worker.Resources {
 	free := c.free
 	estimate := p.job.estimateAt(step, c.agent)
-	left := shares.HeadroomCPU(c.headroom, estimate)
-	free.CPU -= left
-	if left > 0 && (p.left == roomForNone || room(estimate) < p.left) {
-		p.left = room(estimate)
+	headroom := shares.HeadroomCPU(c.headroom, estimate)
+	free.CPU -= headroom
+	if headroom > 0 && (p.roomLeft == roomForNone || room(estimate) < p.roomLeft) {
+		p.roomLeft = room(estimate)
 	}
 	return free
 }
 
-// countAt counts the tasks of a step that are at an agent or planned for it.
+// countAt returns the number of tasks of a step that are at an agent or planned for it.
 func (p *planner) countAt(a *agent, step int) int {
 	count := p.job.countAt(a, step)
 	for _, planned := range p.placements {
@@ -234,7 +241,7 @@
 	return count
 }
 
-// countAt counts the tasks of a step that are at an agent.
+// countAt returns the number of tasks of a step that are at an agent.
 func (j *job) countAt(a *agent, step int) int {
 	count := 0
 	for _, t := range j.tasks {
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -9,23 +9,23 @@
 	"sailhead/internal/runner"
 )
 
-// This file decides when the session with an agent that the entry no longer needs may be closed.
+// This file decides when the session with an agent that the entry no longer needs is closed.
 
-// agentUnwanted applies that the entry does not need its session with an agent any more.
+// agentDeselected handles an AgentDeselected event.
 //
 // Inputs: the agent, the tasks that are there, the runs of dropped jobs that have not ended there.
 //
-// Rule: the agent gets no new tasks and no reservations. If nothing of this entry can be running there, a CloseAgent is
-// emitted; otherwise the event has to come again.
+// Rule: the agent gets no new tasks and no reservations. If no run of this entry can be in progress there, a
+// CloseSession is emitted; otherwise the event has to be repeated.
 //
-// Reason: the end of a session stops the runs that were started over it.
-func (d *Dispatcher) agentUnwanted(id AgentID) {
+// Reason: the end of a session stops the runs that were started through it.
+func (d *Dispatcher) agentDeselected(id AgentID) {
 	a, ok := d.agents[id]
 	if !ok {
 		return
 	}
-	if !a.unwanted {
-		a.unwanted = true
+	if !a.deselected {
+		a.deselected = true
 		d.cancelReservationsAt(id)
 		d.agentsChanged()
 	}
@@ -34,10 +34,10 @@
 	}
 }
 
-// agentWanted lets an agent get tasks again.
-func (d *Dispatcher) agentWanted(id AgentID) {
-	if a, ok := d.agents[id]; ok && a.unwanted {
-		a.unwanted = false
+// agentSelected lets a deselected agent get tasks again.
+func (d *Dispatcher) agentSelected(id AgentID) {
+	if a, ok := d.agents[id]; ok && a.deselected {
+		a.deselected = false
 		d.agentsChanged()
 	}
 }
@@ -57,7 +57,7 @@
 	return false
 }
 
-// cancelReservationsAt cancels what all jobs have reserved at one agent.
+// cancelReservationsAt cancels the reservations of all jobs at one agent.
 func (d *Dispatcher) cancelReservationsAt(id AgentID) {
 	for _, j := range d.waiting {
 		if j.reservation.agents[id] {
--- a/internal/dispatch/rerun.go
+++ b/internal/dispatch/rerun.go
@@ -10,14 +10,14 @@
 	"sailhead/internal/timing"
 )
 
-// This file decides when a task runs again after the session with its agent ended, so that no task has two runs at a
+// This file decides when a task runs again after the session with its agent has ended, so that no task has two runs at a
 // time. Package timing derives the delays.
 //
-// While a session lasts, agents report how each run ended, and the task runs again at once. After the session nothing
-// is reported, but the run has ended after timing.RerunDelay. Durable jobs wait longer, because the run may have been
-// done and the agent or worker may still report it.
+// While a session is open, its agent reports the end of each run, and the task can run again at once. After the session
+// nothing is reported, but the run has ended after timing.RerunDelay. Durable jobs wait longer, because the run may have
+// completed and the agent or worker may still report it.
 
-// rerunDelay returns how long after the loss of its agent a task of the job does not run again.
+// rerunDelay returns how long a task of the job waits after the loss of its agent before it runs again.
 //
 // Inputs: whether the job is durable.
 //
@@ -32,7 +32,7 @@
 	return timing.RerunDelay
 }
 
-// agentDown removes an agent and schedules its tasks to run again.
+// agentDown removes an agent whose session has ended and schedules its tasks to run again.
 func (d *Dispatcher) agentDown(now time.Time, id AgentID) {
 	a, ok := d.agents[id]
 	if !ok {
@@ -57,12 +57,12 @@
 
 // agentRecovered shortens the wait of durable tasks that were at an agent whose session ended.
 //
-// Inputs: the agent, which has heard from its worker now and had not before.
+// Inputs: an agent that now knows all ends of runs on its worker, and did not before.
 //
 // Rule: the tasks run again after timing.RerunDelay, if that is earlier.
 //
-// Reason: an agent that has heard from its worker reports ends that are not recorded at once, also one that accepts no tasks, as its
-// worker drains or its availability zone is evacuated.
+// Reason: an agent that knows all ends reports those that are not recorded at once. That holds also for an agent that
+// accepts no tasks because its worker drains or its availability zone is evacuated.
 func (d *Dispatcher) agentRecovered(now time.Time, id AgentID) {
 	earliest := now.Add(timing.RerunDelay)
 	for _, j := range d.jobs {
@@ -78,37 +78,39 @@
 }
 
 // recoveryWait is how long after job.recoveredAt the tasks of a recovered durable job wait for agents without a
-// session. It is the wait for an agent that was lost here, without timing.RerunDelay: the earlier owner's runs have
-// ended already.
+// session. It is the wait for a lost agent of this entry minus timing.RerunDelay, because the runs of the earlier owner
+// have ended by then.
 const recoveryWait = timing.DurableRerunDelay - timing.RerunDelay
 
-// awaitsAgents reports whether a durable job that an earlier owner started waits for agents to open a session and to hear from their
-// workers.
+// awaitsAgents reports whether a durable job that an earlier owner started waits for agents to open a session and to
+// learn of all ends of runs on their workers.
 //
-// Inputs: the number of registered agents and of those in session that have heard from their workers, the time since the earlier
-// owner's runs ended.
+// Inputs: the number of registered agents, the number of those with an open session that know all ends, the time since
+// the runs of the earlier owner ended.
 //
 // Rule: it waits for all registered agents, but no longer than recoveryWait.
 //
-// Reason: an agent without a session may have an end that is not recorded, or its worker may have one of which the agent has not heard,
-// and the task would run twice.
+// Reason: an agent without a session may have an end that is not recorded, or its worker may have one that the agent does
+// not know of. The task would then run twice.
 func (d *Dispatcher) awaitsAgents(now time.Time, j *job) bool {
 	isRecovered := !j.recoveredAt.IsZero()
-	return isRecovered && now.Before(j.recoveredAt.Add(recoveryWait)) && d.agentsThatHaveHeard() < d.knownAgents
+	return isRecovered && now.Before(j.recoveredAt.Add(recoveryWait)) && d.agentsKnowingAllEnds() < d.knownAgents
 }
 
-// agentsThatHaveHeard returns how many agents in session have heard from their workers.
-func (d *Dispatcher) agentsThatHaveHeard() int {
+// agentsKnowingAllEnds returns the number of responsive agents with an open session that know all ends of runs on their
+// workers.
+func (d *Dispatcher) agentsKnowingAllEnds() int {
 	count := 0
 	for _, a := range d.ordered {
-		if a.hasHeard() && !a.unresponsive {
+		if a.knowsAllEnds() && !a.unresponsive {
 			count++
 		}
 	}
 	return count
 }
 
-// endingRun is a run of a dropped job that may not have ended. The agent is empty if another entry may have started it.
+// endingRun is a run of a dropped job that may not have ended. Its agent is empty if another entry may have started the
+// run.
 type endingRun struct {
 	agent AgentID
 	run   uint32
@@ -116,7 +118,7 @@
 	endedBy time.Time
 }
 
-// isEndingRun reports whether an agent's report is about a run of a dropped job.
+// isEndingRun reports whether an agent's report concerns a run of a dropped job.
 func (d *Dispatcher) isEndingRun(e RunUpdated) bool {
 	run, ok := d.endingRuns[e.Update.Name]
 	return ok && run.agent == e.Agent
@@ -130,7 +132,7 @@
 	}
 }
 
-// boundEndingRuns sets the time by which the runs of dropped jobs at a lost agent have ended.
+// boundEndingRuns sets the time by which the runs of dropped jobs at a lost agent have ended at the latest.
 func (d *Dispatcher) boundEndingRuns(now time.Time, id AgentID) {
 	for name, run := range d.endingRuns {
 		if run.agent == id && run.endedBy.IsZero() {
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -11,30 +11,31 @@
 	"sailhead/internal/worker"
 )
 
-// This file decides where a job reserves resources that it did not find free, and which tasks use an offer. How agents
-// choose among the reservations of all entries is in package runner (reservation.go).
+// This file decides at which agents a job reserves resources that it did not find free, and which tasks use an offer.
+// Package runner (reservation.go) decides how agents choose among the reservations of all entries.
 
 const (
 	// maxReservations is the largest number of agents at which a job reserves; see reservationLimit.
 	maxReservations = 24
-	// reservationsPerTask is the number of agents at which a job reserves for each task that waits; see reservationLimit.
+	// reservationsPerTask is the number of agents at which a job reserves for each waiting task; see reservationLimit.
 	reservationsPerTask = 3
-	// minScarceReservations is the least number for a job while room is scarce or kept; see reservationLimit.
+	// minScarceReservations is the least limit for a job while resources are scarce or kept free; see reservationLimit.
 	minScarceReservations = 12
 )
 
 // reservationLimit returns the largest number of agents at which a job reserves.
 //
-// Inputs: the number of its tasks that wait, whether room is scarce for its kind (forecast.go) or what is left is kept for shorter tasks
-// (isRoomKept).
+// Inputs: the number of its waiting tasks, whether resources are scarce for its kind (forecast.go) or the remaining ones
+// are kept free for shorter tasks (isRoomKept).
 //
-// Rule: reservationsPerTask for each of them, and maxReservations at most; minScarceReservations at least while room is scarce or kept.
-// Reservations at agents that accept no tasks any more, or do not respond, do not count.
+// Rule: reservationsPerTask for each waiting task, and at most maxReservations; at least minScarceReservations while
+// resources are scarce or kept free. Reservations at agents that no longer accept tasks or do not respond do not count.
 //
-// Reason: with a few agents for each task, one of them has room soon. Each agent costs two messages, one to reserve and one to
-// cancel: with many for every job these messages alone fill the link of an entry, and it loses its agents. Where jobs are refused by
-// forecast few wait: with a few agents each there would be some at which no urgent job reserves, whose room would go to less urgent ones.
-// Room that is kept for shorter tasks is at some of the agents only.
+// Reason: with a few agents per task, one of them soon has free resources. Each agent costs two messages, one to reserve
+// and one to cancel: with many agents for every job, these messages alone saturate the link of an entry, and it loses its
+// agents. Where jobs are refused by forecast, few jobs wait: with a few agents each, no urgent job would reserve at some
+// of the agents, whose resources would then go to less urgent jobs. Resources that are kept free for shorter tasks exist at
+// some agents only.
 func reservationLimit(tasks int, isScarceOrKept bool) int {
 	limit := min(reservationsPerTask*tasks, maxReservations)
 	if isScarceOrKept {
@@ -43,44 +44,45 @@
 	return limit
 }
 
-// reservation is what a job has reserved.
+// reservation holds what a job has reserved.
 type reservation struct {
-	// latest is what was requested last, without its count.
+	// latest is the latest request, without its count.
 	latest runner.Reservation
-	// agents are those where the reservation is, as far as the entry knows.
+	// agents holds the agents that have the reservation, as far as the entry knows.
 	agents map[AgentID]bool
-	// view is Dispatcher.view when the agents were chosen.
-	view uint64
+	// agentsVersion is Dispatcher.agentsVersion when the agents were chosen.
+	agentsVersion uint64
 }
 
-// reserve reserves resources for the tasks of a job that found none. The tasks are in the order of their steps; those of
-// the first step are reserved for.
+// reserve reserves resources for the tasks of a job that found none. The tasks are in the order of their steps; resources
+// are reserved for those of the first step only.
 //
 // Inputs: the needs and the label of the step, the urgency of the job, the agents that accept tasks of the service and
 // their health.
 //
-// Rule: reservations at agents whose worker could run a task, chosen at random, at no more than reservationLimit; unhealthy
-// workers, and those where the first task failed, only if there is no other. They are repeated when the needs or the urgency
-// change, and more are added when agents come.
+// Rule: it reserves at randomly chosen agents whose worker could run a task, at no more than reservationLimit; at workers
+// on which many runs fail, and those that the first task avoids, only if there are no others. Reservations are sent again
+// when the needs or the urgency change, and more are added when the agents that accept tasks change.
 //
-// Reason: nobody knows which worker has room next. With the limit, the messages of a job do not grow with the cluster.
+// Reason: it is not known which worker will have free resources next. With the limit, the messages of a job do not grow
+// with the cluster.
 func (d *Dispatcher) reserve(now time.Time, j *job, tasks []*task) {
-	group := sameStep(tasks)
+	group := firstStepTasks(tasks)
 	step := j.Steps[group[0].step]
-	wanted := runner.Reservation{
+	request := runner.Reservation{
 		Job: j.ID, Needs: step.Needs, Urgency: j.urgency(),
 		Kind: j.Kind.Name, Estimate: j.times[group[0].step].task, Weight: j.Kind.Weight,
 	}
 	r := &j.reservation
-	isChanged := wanted != r.latest
-	if !isChanged && r.view == d.view {
+	isChanged := request != r.latest
+	if !isChanged && r.agentsVersion == d.agentsVersion {
 		return
 	}
 	if r.agents == nil {
 		r.agents = make(map[AgentID]bool)
 	}
-	r.latest, r.view = wanted, d.view
-	wanted.Count = len(group)
+	r.latest, r.agentsVersion = request, d.agentsVersion
+	request.Count = len(group)
 	agents := d.reservationAgents(now, j, step, group[0])
 	isScarceOrKept := d.isScarce(now, j) || d.isRoomKept(agents, step.Needs)
 	missing := reservationLimit(len(group), isScarceOrKept) - r.countAt(agents)
@@ -93,12 +95,12 @@
 			missing--
 		}
 		r.agents[a.id] = true
-		wanted.Estimate = j.estimateAt(group[0].step, a)
-		d.emit(Reserve{Agent: a.id, Reservation: wanted})
+		request.Estimate = j.estimateAt(group[0].step, a)
+		d.emit(Reserve{Agent: a.id, Reservation: request})
 	}
 }
 
-// countAt returns at how many of the agents there is a reservation.
+// countAt returns the number of the given agents that have the reservation.
 func (r *reservation) countAt(agents []*agent) int {
 	count := 0
 	for _, a := range agents {
@@ -109,10 +111,10 @@
 	return count
 }
 
-// reservationAgents returns the agents where a job may reserve for tasks of a step, in random order.
+// reservationAgents returns the agents at which a job may reserve for tasks of a step, in random order.
 func (d *Dispatcher) reservationAgents(now time.Time, j *job, step Step, t *task) []*agent {
 	var preferred, others []*agent
-	d.gatherCandidates(now, j)
+	d.collectCandidates(now, j)
 	for _, c := range d.candidates {
 		a := c.agent
 		switch {
@@ -143,8 +145,8 @@
 	*r = reservation{}
 }
 
-// forgetReservationsAt records that an agent has no reservations of this entry, because its session ended or its worker
-// changed.
+// forgetReservationsAt removes an agent from the reservations of all jobs without cancelling them, because the agent has
+// discarded them: its session ended or its worker changed.
 func (d *Dispatcher) forgetReservationsAt(id AgentID) {
 	for _, j := range d.waiting {
 		delete(j.reservation.agents, id)
@@ -156,12 +158,12 @@
 //
 // Inputs: the offered resources, the waiting jobs in their order.
 //
-// Rule: the tasks of the most urgent waiting jobs that fit use the offer, whichever job it was made for, if they are of its kind. A task
-// uses no offer of a worker that it avoids, unless it avoids all. Offers of an agent whose session is to be closed, or whose availability zone
-// is evacuated, are not used.
+// Rule: the offer is used for the tasks of the most urgent waiting jobs of its kind that fit, regardless of the job it was
+// made for. A task does not use an offer of a worker that it avoids, unless it avoids all. Offers of an agent that is
+// deselected, or whose availability zone is evacuated, are not used.
 //
-// Reason: the job that led to the offer may have been placed meanwhile. The agent chose the kind by its share, and offers what is left to
-// another one.
+// Reason: the job that the offer was made for may have been placed in the meantime. The agent chose the kind by its share,
+// and offers what is left to another kind.
 func (d *Dispatcher) offerReceived(now time.Time, e OfferReceived) {
 	a, ok := d.agents[e.Agent]
 	if !ok {
@@ -172,28 +174,29 @@
 		return
 	}
 	if j, ok := d.jobs[e.Offer.Job]; ok && e.Offer.Left == 0 {
-		// The reservation is gone at the agent. It is made again if tasks are left.
+		// The agent has removed the reservation. It is made again if tasks are left.
 		delete(j.reservation.agents, a.id)
-		j.reservation.view = 0
+		j.reservation.agentsVersion = 0
 	}
 	d.sortWaiting(now)
-	left := e.Offer.Resources
+	remaining := e.Offer.Resources
 	for _, j := range d.waiting {
-		if a.mayGetTasks() && d.isOfferedTo(j, e.Offer) && d.mayUseOffer(now, j, a) && j.canUse(left) && d.mayPlace(now, j) {
-			left = d.placeInOffer(now, j, a, e.Offer.ID, left)
+		if a.mayGetTasks() && d.isOfferedTo(j, e.Offer) && d.mayUseOffer(now, j, a) && j.canUse(remaining) && d.mayPlace(now, j) {
+			remaining = d.placeInOffer(now, j, a, e.Offer.ID, remaining)
 		}
 	}
 	d.emit(AnswerOffer{Agent: a.id, Offer: e.Offer.ID})
 	d.isPlaceDue = true
 }
 
-// isOfferedTo reports whether an offer is for jobs of the kind of a job. One that names no kind is for all.
+// isOfferedTo reports whether an offer is made to the kind of a job. An offer without a kind is made to all kinds.
 func (d *Dispatcher) isOfferedTo(j *job, offer runner.Offer) bool {
 	return d.limits.NoShares || offer.Kind == "" || offer.Kind == j.Kind.Name
 }
 
-// mayUseOffer reports whether a job may use an offer of an agent. One that is contained does not, as it reserves nothing: what it
-// used would be lost to the job that did. Nor does one for which the worker is too slow, while another suits it.
+// mayUseOffer reports whether a job may use an offer of an agent. A contained job may not: it reserves nothing, and would
+// take the resources from the job that reserved them. Nor may a job for which the worker is too slow while another worker
+// is fast enough.
 func (d *Dispatcher) mayUseOffer(now time.Time, j *job, a *agent) bool {
 	if j.Kind.Service != a.record.Service || !d.containment.permits(j, a.id) || d.isContained(j) {
 		return false
@@ -204,44 +207,45 @@
 	return !a.isTooSlow(now, j) || !slices.ContainsFunc(d.ordered, isSuitable)
 }
 
-// placeInOffer sends the tasks of a job that fit into what is left of an offer, and returns what is left then.
-func (d *Dispatcher) placeInOffer(now time.Time, j *job, a *agent, id runner.OfferID, left worker.Resources) worker.Resources {
+// placeInOffer sends the tasks of a job that fit into the resources left of an offer, and returns what remains of them.
+func (d *Dispatcher) placeInOffer(now time.Time, j *job, a *agent, id runner.OfferID, remaining worker.Resources) worker.Resources {
 	p := planner{job: j}
 	for _, t := range d.placeable(now, j) {
 		step := j.Steps[t.step]
-		c := candidate{agent: a, free: left}
+		c := candidate{agent: a, free: remaining}
 		if t.avoids(a.id) && d.hasWorker(j, t, func(a *agent) bool { return !t.avoids(a.id) }) || p.fits(&c, []*task{t}) <= 0 {
 			continue
 		}
-		one := placement{job: j, task: t, agent: a, offer: id}
-		p.placements = append(p.placements, one)
-		left = left.Minus(step.Needs)
+		placed := placement{job: j, task: t, agent: a, offer: id}
+		p.placements = append(p.placements, placed)
+		remaining = remaining.Minus(step.Needs)
 		if d.isSuspect(t) {
-			// The agent starts nothing beside it.
-			left = worker.Resources{}
+			// The agent runs a suspect alone.
+			remaining = worker.Resources{}
 			break
 		}
 	}
 	for _, one := range p.placements {
 		d.send(now, one)
 	}
-	return left
+	return remaining
 }
 
-// hasWorker reports whether an agent accepts tasks of the job whose worker could run the task if it were empty, and which suits.
-func (d *Dispatcher) hasWorker(j *job, t *task, suits func(*agent) bool) bool {
+// hasWorker reports whether there is an agent that accepts tasks of the job, whose worker could run the task if it were
+// idle, and that matches.
+func (d *Dispatcher) hasWorker(j *job, t *task, matches func(*agent) bool) bool {
 	step := j.Steps[t.step]
 	return slices.ContainsFunc(d.ordered, func(a *agent) bool {
-		return d.mayRun(j, a) && step.canRunOn(a.record) && suits(a)
+		return d.mayRun(j, a) && step.canRunOn(a.record) && matches(a)
 	})
 }
 
-// canRunOn reports whether a task of some step of the job could run on a worker if it were empty.
+// canRunOn reports whether a task of at least one step of the job could run on a worker if the worker were idle.
 func (j *job) canRunOn(w worker.Record) bool {
 	return slices.ContainsFunc(j.Steps, func(step Step) bool { return step.canRunOn(w) })
 }
 
-// canRunOn reports whether a task of the step could run on a worker if it were empty.
+// canRunOn reports whether a task of the step could run on a worker if the worker were idle.
 func (s Step) canRunOn(w worker.Record) bool {
 	return s.Needs.Fits(w.Capacity) && (s.Label == "" || w.HasLabel(s.Label))
 }
--- a/internal/dispatch/speed.go
+++ b/internal/dispatch/speed.go
@@ -12,13 +12,13 @@
 //
 // Inputs: the time factors that agents report with their loads.
 //
-// Rule: the factor of a worker is what its agent reports, divided by the mean of all agents in session, by its logarithm. Run times that the
-// entry learns are divided by it.
+// Rule: the factor of a worker is the one that its agent reports, divided by the geometric mean over all agents with an
+// open session. Run times that the entry learns are divided by it.
 //
-// Reason: agents measure against the times that entries expect, and entries learn these from the runs at all agents. Without the
-// division both would drift together, as only their product shows.
+// Reason: agents measure against the times that entries expect, and entries learn these from the runs at all agents.
+// Without the division both would drift together, because only their product can be observed.
 
-// updateTimeFactors compares the time factors again.
+// updateTimeFactors recomputes the time factors of all agents.
 func (d *Dispatcher) updateTimeFactors() {
 	sum, known := 0.0, 0.0
 	for _, a := range d.ordered {
@@ -35,16 +35,16 @@
 	}
 }
 
-// usualTime returns how long tasks usually take on the worker that take a time on one of the factor 1.
+// usualTime converts a run time on a worker with time factor 1 to the usual run time on this worker.
 func (a *agent) usualTime(reference time.Duration) time.Duration {
 	return time.Duration(a.timeFactor * float64(reference))
 }
 
-// referenceTime returns how long the run of a task, which took a time, takes near its data on a worker of the factor 1.
-func (d *Dispatcher) referenceTime(j *job, t *task, took time.Duration) time.Duration {
+// referenceTime converts the measured run time of a task to that on a worker with time factor 1 in the rack of its data.
+func (d *Dispatcher) referenceTime(j *job, t *task, measured time.Duration) time.Duration {
 	a, ok := d.agents[t.agent]
 	if !ok {
-		return took
+		return measured
 	}
-	return time.Duration(float64(took) / a.timeFactor / j.farFactor(t.step, a))
+	return time.Duration(float64(measured) / a.timeFactor / j.rackFactor(t.step, a))
 }
