--- a/internal/dispatch/distance_test.go
+++ b/internal/dispatch/distance_test.go
@@ -13,24 +13,24 @@
 	"sailhead/internal/worker"
 )
 
-// TestAJobWaitsForItsRackWhileItWouldBeLateElsewhere submits jobs whose data is in a rack that is full, while another one is free.
+// TestAJobWaitsForItsRackWhileItWouldBeLateElsewhere submits jobs whose data is in a full rack while another rack is free.
 func TestAJobWaitsForItsRackWhileItWouldBeLateElsewhere(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		rack     string
-		far      float64
-		expected time.Duration
-		// waits is how long the job waits, in parts of its slack.
+		name            string
+		rack            string
+		crossRackFactor float64
+		expected        time.Duration
+		// waits is how long the job waits, as a fraction of its slack.
 		waits float64
 	}{
 		{"late elsewhere", "r1", 3, time.Second, maxSpeedWaitShare},
 		{"in time elsewhere", "r1", 1.2, time.Second, 0},
-		{"the distance does not matter", "r1", 1, time.Second, 0},
+		{"same run time in both racks", "r1", 1, time.Second, 0},
 		{"no rack", "", 3, time.Second, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(1_000_000, 0)
-			d := New(Limits{Jobs: 10, CrossRackFactor: test.far}, rand.New(rand.NewPCG(1, 2)))
+			d := New(Limits{Jobs: 10, CrossRackFactor: test.crossRackFactor}, rand.New(rand.NewPCG(1, 2)))
 			for _, rack := range []string{"r1", "r2"} {
 				id := AgentID("agent-" + rack)
 				record := worker.Record{ID: rack, Service: "svc", Capacity: worker.Resources{CPU: 4000}, Labels: []string{rack}}
@@ -49,19 +49,19 @@
 			if test.waits > 0 {
 				started = append(started, d.Handle(begin.Add(-time.Millisecond), Ticked{})...)
 				if hasStart(started) {
-					t.Fatal("the job has not waited for its rack")
+					t.Fatal("the job was started before the end of its wait for the full rack")
 				}
 				started = d.Handle(begin.Add(time.Millisecond), Ticked{})
 			}
 			if !hasStart(started) {
-				t.Error("the job does not run in the other rack")
+				t.Error("the job was not started in the other rack")
 			}
 		})
 	}
 }
 
-// TestAJobDoesNotWaitForARackThatIsBeingEvacuated submits a job that would be late elsewhere. Its rack is full, and its availability zone is
-// evacuated before the job comes or while it waits.
+// TestAJobDoesNotWaitForARackThatIsBeingEvacuated submits a job that would be late in another rack. Its own rack is full
+// and in an availability zone that is evacuated before the job is submitted or while it waits.
 func TestAJobDoesNotWaitForARackThatIsBeingEvacuated(t *testing.T) {
 	for _, isBefore := range []bool{true, false} {
 		now := time.Unix(1_000_000, 0)
@@ -84,7 +84,7 @@
 		}
 		first := d.Handle(now, events[0])
 		if hasStart(first) {
-			t.Fatalf("evacuated before: %t: the job has not waited for its rack", isBefore)
+			t.Fatalf("evacuated before: %t: the job was started before both events", isBefore)
 		}
 		if effects := d.Handle(now.Add(time.Millisecond), events[1]); !hasStart(effects) {
 			t.Errorf("evacuated before: %t: got %+v, want a start in the other rack", isBefore, effects)
--- a/internal/dispatch/durable_test.go
+++ b/internal/dispatch/durable_test.go
@@ -31,7 +31,7 @@
 	return d, now
 }
 
-// started returns the agents to which tasks were sent, by the task's name.
+// started returns the agents that tasks were sent to, by the task's name.
 func started(effects []Effect) map[string]AgentID {
 	starts := make(map[string]AgentID)
 	for _, effect := range effects {
@@ -45,14 +45,14 @@
 func TestDurableRunsCountsRunsAtLostAgents(t *testing.T) {
 	d, now := newDispatcherWithAgents("a")
 	if starts := started(d.Handle(now, durableJob("j1", 2))); len(starts) != 2 {
-		t.Fatalf("started %v", starts)
+		t.Fatalf("started %v, want 2 tasks", starts)
 	}
 	d.Handle(now, AgentDown{Agent: "a"})
 	if runs := d.DurableRuns(now); runs != 2 {
-		t.Fatalf("%d runs after the loss of the agent's session", runs)
+		t.Fatalf("%d runs after the loss of the agent's session, want 2", runs)
 	}
 	if runs := d.DurableRuns(now.Add(timing.DurableRerunDelay)); runs != 0 {
-		t.Fatalf("%d runs after DurableRerunDelay", runs)
+		t.Fatalf("%d runs after DurableRerunDelay, want 0", runs)
 	}
 }
 
@@ -100,7 +100,7 @@
 		t.Fatal("no second run after the first failed")
 	}
 	if starts := fail(agent, 2); len(starts) > 0 {
-		t.Fatalf("a third run with 2 attempts: %v", starts)
+		t.Fatalf("started a third run %v of a task with 2 attempts", starts)
 	}
 }
 
@@ -109,7 +109,7 @@
 	d.Handle(now, AgentsRegistered{Agents: []AgentID{"a", "b"}})
 	fresh := durableJob("fresh", 1)
 	if starts := started(d.Handle(now, fresh)); len(starts) != 1 {
-		t.Fatalf("started %v of a job without an earlier owner, want 1", starts)
+		t.Fatalf("started %v of a job without an earlier owner, want 1 task", starts)
 	}
 	recovered := durableJob("recovered", 1)
 	recovered.NotBefore = now.Add(time.Second)
@@ -118,10 +118,10 @@
 		t.Fatalf("started %v although an agent has no session", starts)
 	}
 	if starts := started(d.Handle(now.Add(3*time.Second), AgentUp{Agent: "b"}, LoadReceived{Agent: "b"})); len(starts) > 0 {
-		t.Fatalf("started %v although an agent has not heard from its worker", starts)
+		t.Fatalf("started %v although an agent does not know all ends of runs on its worker", starts)
 	}
 	if starts := started(d.Handle(now.Add(3*time.Second), LoadReceived{Agent: "b", Load: runner.Load{KnowsAllEnds: true}})); starts["recovered.0.0.0"] != "a" {
-		t.Fatalf("started %v when all agents have heard from their workers, want recovered.0.0.0 at a", starts)
+		t.Fatalf("started %v although all agents know the ends of runs on their workers, want recovered.0.0.0 at a", starts)
 	}
 	left := durableJob("left", 1)
 	left.NotBefore = now.Add(3 * time.Second)
--- a/internal/dispatch/estimate_test.go
+++ b/internal/dispatch/estimate_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// learnedTimes returns what a kind's steps teach if a step runs for 200 ms on average and its caller's guess is off by guessError,
-// the standard deviation of its logarithm, and by the factor bias.
+// learnedTimes returns the run times learned from 400 steps of about 200 ms. The caller's guesses are wrong by the factor
+// bias and by a random factor whose logarithm has the standard deviation guessError.
 func learnedTimes(guessError, bias float64) runTimes {
 	r, random := make(runTimes), rand.New(rand.NewPCG(1, 2))
 	for range 400 {
@@ -36,12 +36,12 @@
 		guess float64
 		want  float64
 	}{
-		{"nothing is known of the kind", make(runTimes), 50, 50},
-		{"exact guesses are taken as they are", learnedTimes(0, 1), 400, 400},
+		{"the guess is used for an unknown kind", make(runTimes), 50, 50},
+		{"exact guesses are not changed", learnedTimes(0, 1), 400, 400},
 		{"guesses of half the time are doubled", learnedTimes(0, 0.5), 100, 200},
-		{"guesses that tell nothing are replaced by the usual time", learnedTimes(3, 1), 1000, 200},
-		{"guesses that are as uncertain as the times count half", learnedTimes(0.4, 1), 800, 400},
-		{"without a guess the usual time is expected", learnedTimes(0.4, 1), 0, 200},
+		{"uncorrelated guesses are replaced by the mean", learnedTimes(3, 1), 1000, 200},
+		{"guesses with the same variance as the run times have half the weight", learnedTimes(0.4, 1), 800, 400},
+		{"without a guess the mean is expected", learnedTimes(0.4, 1), 0, 200},
 	}
 	for _, c := range cases {
 		if got := c.known.estimate("kind", millis(c.guess)).task; !isWithin(got, c.want) {
@@ -53,7 +53,7 @@
 func TestTheLongestRunOfAStepIsEstimatedFromTheMean(t *testing.T) {
 	times := learnedTimes(0, 1).estimate("kind", millis(100))
 	if !isWithin(times.longest, 1.2*100) {
-		t.Errorf("longest %s for a mean of %s, want 1.2 times the mean", times.longest, times.task)
+		t.Errorf("longest run of %s for a mean of %s, want about 1.2 times the mean", times.longest, times.task)
 	}
 }
 
@@ -71,6 +71,6 @@
 	r := make(runTimes)
 	r.observe("kind", 0, 0, 0)
 	if got := r.estimate("kind", 0); got.task <= 0 || got.task > time.Second {
-		t.Errorf("estimate %s after a run of no time and no guess", got.task)
+		t.Errorf("estimate %s after a run of 0 s without a guess, want more than 0 s and at most 1 s", got.task)
 	}
 }
--- a/internal/dispatch/order_test.go
+++ b/internal/dispatch/order_test.go
@@ -10,7 +10,7 @@
 	"sailhead/internal/worker"
 )
 
-// submitted returns a job of one task for a service.
+// submitted returns the submission of a job of one task, which needs a whole worker of newDispatcherWithAgents.
 func submitted(id, service string, waiter Waiter) Submitted {
 	return Submitted{Waiter: waiter, Job: Job{
 		ID: id, Kind: Kind{Name: "k", Service: service, Attempts: 2, Stretch: 1.6},
--- a/internal/dispatch/place_test.go
+++ b/internal/dispatch/place_test.go
@@ -14,7 +14,7 @@
 	"sailhead/internal/worker"
 )
 
-// busyDispatcher returns a dispatcher with agents whose workers are nearly full, and with jobs that wait.
+// busyDispatcher returns a dispatcher with waiting jobs and with agents whose workers are fully used.
 func busyDispatcher(now time.Time, agents, jobs int) *Dispatcher {
 	d := New(Limits{Jobs: jobs + 1}, rand.New(rand.NewPCG(1, 2)))
 	for i := range agents {
@@ -30,7 +30,7 @@
 	return d
 }
 
-// busyLoad is the load of a worker with reservations and little that is free, in thousandths of a core.
+// busyLoad returns the load of a worker with reservations, which has free thousandths of a core left.
 func busyLoad(free int) runner.Load {
 	return runner.Load{Accepts: true, Slowness: 1, HasReservations: true, Used: worker.Resources{CPU: 32000 - free}}
 }
@@ -49,21 +49,21 @@
 		want bool
 	}{
 		{"less is free", busyLoad(-1000), false},
-		{"more is free, for reservations", busyLoad(4000), false},
+		{"more is free, but reserved", busyLoad(4000), false},
 		{"more is free", more, true},
-		{"the worker accepts no tasks any more", draining, true},
-		{"the worker is unhealthy", slow, true},
+		{"the worker no longer accepts tasks", draining, true},
+		{"the worker becomes unhealthy", slow, true},
 	}
 	for _, c := range cases {
 		d := busyDispatcher(now, 3, 2)
 		d.handleEvent(now, LoadReceived{Agent: "agent-1", Load: c.load})
 		if d.isPlaceDue != c.want {
-			t.Errorf("%s: a placement is due: %t, want %t", c.name, d.isPlaceDue, c.want)
+			t.Errorf("%s: isPlaceDue is %t, want %t", c.name, d.isPlaceDue, c.want)
 		}
 	}
 }
 
-// BenchmarkLoad is the cost of a load that an entry receives while jobs wait, with the agents of the users' larger sites.
+// BenchmarkLoad measures the handling of a load while jobs wait, with as many agents as larger installations have.
 func BenchmarkLoad(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	for _, jobs := range []int{0, 10, 50} {
@@ -77,7 +77,8 @@
 	}
 }
 
-// BenchmarkOffer is the cost of an offer for one task and of the report on it, with 100 waiting jobs and 48 agents.
+// BenchmarkOffer measures the handling of an offer for one task and of the report on its run, with 100 waiting jobs and 48
+// agents.
 func BenchmarkOffer(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	d := busyDispatcher(now, 48, 100)
@@ -98,7 +99,8 @@
 	}
 }
 
-// BenchmarkPlace is the cost of a placement while 100 jobs wait at 48 agents, which have room that they keep for shorter tasks or none.
+// BenchmarkPlace measures a placement with 100 waiting jobs and 48 agents, which have either no free resources or only
+// resources that are kept free for shorter tasks.
 func BenchmarkPlace(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	for _, keepsRoom := range []bool{false, true} {
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -24,7 +24,7 @@
 	first     = flag.Uint64("first", 0, "seed of the first random schedule")
 )
 
-// sentTask is a task at a fake agent.
+// sentTask is a task that was sent to a fake agent.
 type sentTask struct {
 	run     uint32
 	started bool
@@ -33,33 +33,33 @@
 	needs   worker.Resources
 }
 
-// fakeAgent is an agent and its worker.
+// fakeAgent simulates an agent and its worker.
 type fakeAgent struct {
 	id      AgentID
 	up      bool
 	handled uint64
 	used    worker.Resources
 	tasks   map[string]*sentTask
-	// reservations holds those that wait, by their jobs, and offers those that were not answered, by their IDs.
+	// reservations holds the waiting reservations by job, and offers the resources left of unanswered offers by ID.
 	reservations map[string]runner.Reservation
 	offers       map[runner.OfferID]worker.Resources
-	// offeredTo are the kinds whose jobs may use the offers, without those that any job may use.
+	// offeredTo holds the kind that an offer is restricted to, by ID. Offers to all kinds are missing.
 	offeredTo map[runner.OfferID]string
 	lastOffer runner.OfferID
-	// isEjected is set while the worker is ejected, and probe is the probe that was offered last, zero if it was answered; probedAt is when.
-	// endedProbe is one that the agent took back without an answer.
+	// isEjected is set while the worker is ejected. probe is the latest probe, offered at probedAt, and zero once it was
+	// answered. endedProbe is a probe that the agent withdrew before it was answered.
 	isEjected  bool
 	probe      runner.OfferID
 	endedProbe runner.OfferID
 	probedAt   time.Time
-	// downSince is when the session ended, zero if there was none. Its runs may continue for some time.
+	// downSince is when the latest session ended, zero if there was none. Its runs may continue for some time.
 	downSince time.Time
-	// unwanted is set while the entry does not need the session, and isClosing once it may be closed.
-	unwanted  bool
-	isClosing bool
+	// deselected is set while the entry does not need the session, and isClosing once the dispatcher has closed it.
+	deselected bool
+	isClosing  bool
 }
 
-// schedule runs a dispatcher with fake agents and callers on virtual time.
+// schedule runs a dispatcher with fake agents and callers in virtual time.
 type schedule struct {
 	t          *testing.T
 	random     *rand.Rand
@@ -68,23 +68,24 @@
 	agents     []*fakeAgent
 	waiting    map[Waiter]string
 	answers    map[Waiter]Answer
-	next       Waiter
+	lastWaiter Waiter
 	began      map[string]bool
-	// forecastRefusals counts, by job, the refusals by forecast that are not yet said to have had room.
+	// forecastRefusals counts, by job, the refusals by forecast that were not reported as avoidable.
 	forecastRefusals map[string]int
-	// ghosts holds, by the task's name, until when runs of ended sessions may continue.
+	// ghosts holds, by the task's name, the time until which a run of an ended session may continue.
 	ghosts map[string]time.Time
-	// evacuating draws the operators' changes of the availability zones and the way of their news; nil for none. It is a source of
-	// its own, so that the schedule of a seed is the same without them.
-	evacuating *rand.Rand
-	// other is the entry to which jobs are handed over, nil if none are.
+	// evacuationRandom is the source of random evacuations and of their delivery, nil for none. It is separate from random, so
+	// that evacuations do not change the rest of a seed's schedule.
+	evacuationRandom *rand.Rand
+	// other is the entry that jobs are handed over to, nil for none.
 	other *otherEntry
-	// ejecting draws which workers are ejected; nil for none. probes counts the starts that used a probe, ignored those that ignored an ejection.
-	ejecting        *rand.Rand
-	probes, ignored int
-	// history are all changes in order, and told what the dispatcher has been told of.
-	history []evacuation.Change
-	told    evacuation.State
+	// ejectionRandom is the source of random ejections, nil for none. probeStarts counts the starts that used a probe, and
+	// ignoredEjections those that ignored an ejection.
+	ejectionRandom                *rand.Rand
+	probeStarts, ignoredEjections int
+	// evacuationHistory holds all changes of zones in order, deliveredEvacuations those that the dispatcher has received.
+	evacuationHistory    []evacuation.Change
+	deliveredEvacuations evacuation.State
 }
 
 const (
@@ -92,7 +93,7 @@
 	capacity = 8000
 	// step is the time between two ticks.
 	step = 5 * time.Millisecond
-	// load is the probability of a new job in each step. The fake agents are overloaded at times.
+	// load is the probability of a new job in each step. It overloads the fake agents at times.
 	load = 0.15
 )
 
@@ -119,7 +120,7 @@
 	}
 }
 
-// free returns the resources that the agent's tasks, started or not, and its offers leave.
+// free returns the resources that are used neither by the agent's tasks, started or not, nor by its offers.
 func (a *fakeAgent) free() worker.Resources {
 	free := worker.Resources{CPU: capacity}
 	for _, task := range a.tasks {
@@ -164,7 +165,7 @@
 	}
 }
 
-// checkDecision fails if a job is said to have had room that was not refused by its forecast, or more often than it was.
+// checkDecision fails if an avoidable refusal is reported for a job without a matching refusal by forecast.
 func (s *schedule) checkDecision(m DecisionMade) {
 	switch decision := m.Decision.(type) {
 	case DecisionAnswered:
@@ -173,7 +174,7 @@
 		}
 	case DecisionAvoidableRefusal:
 		if s.forecastRefusals[m.Job] == 0 {
-			s.t.Fatalf("job %s is said to have had room", m.Job)
+			s.t.Fatalf("job %s has an avoidable refusal without a refusal by forecast", m.Job)
 		}
 		s.forecastRefusals[m.Job]--
 	}
@@ -191,7 +192,7 @@
 	a.reservations[e.Reservation.Job] = e.Reservation
 }
 
-// closeAgent ends the session with an agent that the schedule does not want. It fails if a task is there.
+// closeAgent marks the session with an agent as closing. It fails if the agent has tasks or reservations.
 func (s *schedule) closeAgent(e CloseSession) {
 	a := s.agent(e.Agent)
 	if len(a.tasks) > 0 || len(a.reservations) > 0 {
@@ -200,14 +201,14 @@
 	a.isClosing = true
 }
 
-// changeSubset makes the entry need its session with an agent no longer, or need it again.
-func (s *schedule) changeSubset(a *fakeAgent) {
-	if !a.unwanted {
-		a.unwanted = true
+// toggleSelection deselects an agent, or selects it again.
+func (s *schedule) toggleSelection(a *fakeAgent) {
+	if !a.deselected {
+		a.deselected = true
 		s.handle(AgentDeselected{Agent: a.id})
 		return
 	}
-	a.unwanted = false
+	a.deselected = false
 	s.handle(AgentSelected{Agent: a.id})
 }
 
@@ -228,7 +229,7 @@
 	delete(a.offers, e.Offer)
 }
 
-// offer makes an offer to a random reservation that fits.
+// offer makes offers to a random part of the reservations that fit.
 func (s *schedule) offer(a *fakeAgent) {
 	for _, job := range slices.Sorted(maps.Keys(a.reservations)) {
 		r := a.reservations[job]
@@ -262,7 +263,8 @@
 	return nil
 }
 
-// start passes a run to its agent. It fails if another run of the task may be under way.
+// start passes a run to its agent. It fails if another run of the task may be in progress, or if the agent must not get
+// the run.
 func (s *schedule) start(e StartTask) {
 	for _, a := range s.agents {
 		if _, ok := a.tasks[e.Task.Name]; ok {
@@ -279,10 +281,10 @@
 	if !a.up {
 		s.t.Fatalf("%s was sent to %s, which has no session", e.Task.Name, e.Agent)
 	}
-	if s.told.Has(zoneOf(a.id)) {
+	if s.deliveredEvacuations.Has(zoneOf(a.id)) {
 		s.t.Fatalf("%s was sent to %s, whose availability zone is evacuated", e.Task.Name, e.Agent)
 	}
-	if a.unwanted {
+	if a.deselected {
 		s.t.Fatalf("%s was sent to %s, whose session is to be closed", e.Task.Name, e.Agent)
 	}
 	if e.Number != a.handled+1 {
@@ -290,7 +292,7 @@
 	}
 	a.handled = e.Number
 	if a.isEjected {
-		s.checkEjected(a, e.Task)
+		s.checkEjectedStart(a, e.Task)
 	}
 	if e.Task.Offer > 0 && e.Task.Offer != a.probe && e.Task.Offer != a.endedProbe {
 		s.useOffer(a, e.Task)
@@ -301,12 +303,13 @@
 	a.tasks[e.Task.Name] = &sentTask{run: e.Task.Run, due: s.now.Add(s.millis(1, 400)), needs: e.Task.Needs}
 }
 
-// eject ejects the worker of an agent now and then, or puts it in service again, and offers probes. A probe has to be answered in time.
+// eject ejects the worker of an agent at random times, or returns it to service, and offers probes. It fails if a probe is
+// not answered in time.
 func (s *schedule) eject(a *fakeAgent) {
-	if s.ejecting == nil || !a.up {
+	if s.ejectionRandom == nil || !a.up {
 		return
 	}
-	if a.endedProbe == 0 && s.ejecting.Float64() < 0.01 {
+	if a.endedProbe == 0 && s.ejectionRandom.Float64() < 0.01 {
 		a.isEjected, a.probe, a.endedProbe = !a.isEjected, 0, a.probe
 		clear(a.reservations)
 		clear(a.offers)
@@ -315,16 +318,17 @@
 	if a.probe > 0 && s.now.Sub(a.probedAt) > runner.ProbeOfferTime+2*step {
 		s.t.Fatalf("probe %d of %s was not answered in time", a.probe, a.id)
 	}
-	if a.isEjected && a.probe == 0 && s.ejecting.Float64() < 0.1 {
+	if a.isEjected && a.probe == 0 && s.ejectionRandom.Float64() < 0.1 {
 		a.lastOffer++
 		a.probe, a.probedAt = a.lastOffer, s.now
 		s.handle(OfferReceived{Agent: a.id, Offer: runner.Offer{ID: a.probe, Resources: a.free(), IsProbe: true}})
 	}
 }
 
-// checkEjected fails if a task is sent to an ejected worker that uses no probe and does not ignore the ejection, that ignores it although few
-// workers are ejected, or whose next failure is the last unless all workers are ejected and it is no probe.
-func (s *schedule) checkEjected(a *fakeAgent, sent runner.Task) {
+// checkEjectedStart checks a start on an ejected worker. It fails if the start neither uses a probe nor ignores the
+// ejection, if it ignores the ejection although too few workers are ejected, or if the next failure of the task is its
+// last, unless all workers are ejected and the start uses no probe.
+func (s *schedule) checkEjectedStart(a *fakeAgent, sent runner.Task) {
 	isProbe := sent.Offer > 0 && (sent.Offer == a.probe || sent.Offer == a.endedProbe)
 	known, ejected := 0.0, 0.0
 	for _, other := range s.dispatcher.ordered {
@@ -346,17 +350,17 @@
 	case !j.hasSpareAttempt(t) && (isProbe || ejected < known):
 		s.t.Fatalf("%s was sent to %s, whose worker is one of %.0f of %.0f that are ejected, and must not fail again", sent.Name, a.id, ejected, known)
 	case isProbe:
-		s.probes++
+		s.probeStarts++
 	default:
-		s.ignored++
+		s.ignoredEjections++
 	}
 }
 
-// useOffer takes the needs of a task from the offer that it names. It fails if they are not left of it.
+// useOffer subtracts the needs of a task from the offer that it uses. It fails if they exceed what is left of the offer.
 func (s *schedule) useOffer(a *fakeAgent, task runner.Task) {
 	left, ok := a.offers[task.Offer]
 	if !ok || !task.Needs.Fits(left) {
-		s.t.Fatalf("%s uses offer %d of %s, of which %+v is left", task.Name, task.Offer, a.id, left)
+		s.t.Fatalf("%s needs more than what is left of offer %d of %s: %+v", task.Name, task.Offer, a.id, left)
 	}
 	a.offers[task.Offer] = left.Minus(task.Needs)
 }
@@ -367,7 +371,8 @@
 	return job
 }
 
-// reply fails if a waiter is answered twice, or if a job is answered with NotRun although a task of it began.
+// reply records the answers to waiters. It fails if a waiter is answered twice, if a job is answered with NotRun although a
+// task of it was started, or if a refusal gives no time to retry.
 func (s *schedule) reply(e Reply) {
 	for _, waiter := range e.Waiters {
 		job, ok := s.waiting[waiter]
@@ -378,25 +383,25 @@
 		s.answers[waiter] = e.Answer
 		if answer, refused := e.Answer.(NotRun); refused {
 			if s.began[job] {
-				s.t.Fatalf("job %s was answered with NotRun although a task of it began", job)
+				s.t.Fatalf("job %s was answered with NotRun although a task of it was started", job)
 			}
 			if answer.RetryAfter <= 0 {
-				s.t.Fatalf("job %s was refused without a time to retry", job)
+				s.t.Fatalf("job %s was refused without RetryAfter", job)
 			}
 		}
 	}
 }
 
 func (s *schedule) submit() {
-	s.next++
-	id := fmt.Sprintf("%016x", s.next)
-	if s.chance(0.05) && s.next > 1 {
-		id = fmt.Sprintf("%016x", s.next-1)
+	s.lastWaiter++
+	id := fmt.Sprintf("%016x", s.lastWaiter)
+	if s.chance(0.05) && s.lastWaiter > 1 {
+		id = fmt.Sprintf("%016x", s.lastWaiter-1)
 	}
 	if s.other != nil && s.other.lastLeft != "" && s.chance(0.2) {
 		id = s.other.lastLeft
 	}
-	s.waiting[s.next] = id
+	s.waiting[s.lastWaiter] = id
 	if s.dispatcher.stateOf(id) == JobUnknown {
 		delete(s.began, id)
 	}
@@ -411,11 +416,11 @@
 		}
 		job.Steps = append(job.Steps, one)
 	}
-	s.handle(Submitted{Job: job, Waiter: s.next})
+	s.handle(Submitted{Job: job, Waiter: s.lastWaiter})
 }
 
-// act advances an agent: it reports its runs, loses its session or opens a new one.
-func (s *schedule) act(a *fakeAgent) {
+// advance simulates an agent for one step: it reports its runs and makes offers, loses its session or opens a new one.
+func (s *schedule) advance(a *fakeAgent) {
 	switch {
 	case !a.up && s.now.Sub(a.downSince) > s.millis(0, 2000):
 		*a = *newFakeAgent(a.id, true)
@@ -424,18 +429,18 @@
 			ID: "w", Service: "service", Zone: zoneOf(a.id), Capacity: worker.Resources{CPU: capacity},
 		}})
 		s.load(a)
-	case a.up && a.isClosing && a.unwanted:
+	case a.up && a.isClosing && a.deselected:
 		*a = fakeAgent{id: a.id, downSince: s.now}
 		s.handle(AgentDown{Agent: a.id})
 	case a.up && s.chance(0.004):
-		s.changeSubset(a)
-	case a.up && a.unwanted && s.chance(0.1):
+		s.toggleSelection(a)
+	case a.up && a.deselected && s.chance(0.1):
 		s.handle(AgentDeselected{Agent: a.id})
 	case a.up && s.chance(0.002):
 		a.up = false
 		a.downSince = s.now
 		for name := range a.tasks {
-			// The longest that runs may continue after the end of the session.
+			// Runs may continue for this long after the end of the session.
 			s.ghosts[name] = s.now.Add(timing.RerunDelay - time.Millisecond)
 		}
 		*a = fakeAgent{id: a.id, downSince: s.now}
@@ -451,9 +456,9 @@
 		task := a.tasks[name]
 		switch {
 		case !task.started && s.chance(0.1):
-			s.end(a, name, runner.OutcomeNotStarted)
+			s.endRun(a, name, runner.OutcomeNotStarted)
 		case !task.started && task.stopped:
-			s.end(a, name, runner.OutcomeNotStarted)
+			s.endRun(a, name, runner.OutcomeNotStarted)
 		case !task.started:
 			task.started = true
 			if !task.stopped {
@@ -462,7 +467,7 @@
 			a.used = a.used.Plus(task.needs)
 			s.handle(RunUpdated{Agent: a.id, Update: runner.Update{Name: name, Run: task.run, Outcome: runner.OutcomeStarted}})
 		case task.stopped:
-			s.end(a, name, runner.OutcomeStopped)
+			s.endRun(a, name, runner.OutcomeStopped)
 		case s.now.After(task.due):
 			outcome := runner.OutcomeDone
 			switch {
@@ -471,13 +476,13 @@
 			case s.chance(0.05):
 				outcome = runner.OutcomeLost
 			}
-			s.end(a, name, outcome)
+			s.endRun(a, name, outcome)
 		}
 	}
 	s.load(a)
 }
 
-func (s *schedule) end(a *fakeAgent, name string, outcome runner.Outcome) {
+func (s *schedule) endRun(a *fakeAgent, name string, outcome runner.Outcome) {
 	task := a.tasks[name]
 	delete(a.tasks, name)
 	if task.started {
@@ -505,10 +510,10 @@
 			s.handle(CallerLeft{Job: job, Waiter: waiter})
 		}
 		for _, a := range s.agents {
-			s.act(a)
+			s.advance(a)
 			s.eject(a)
 		}
-		if s.evacuating != nil {
+		if s.evacuationRandom != nil {
 			s.evacuate()
 		}
 		if s.other != nil {
@@ -518,30 +523,30 @@
 	}
 }
 
-// zoneOf returns the availability zone of an agent: there are two.
+// zoneOf returns the availability zone of an agent, which is one of two.
 func zoneOf(id AgentID) string {
 	return []string{"north", "south"}[id[len(id)-1]%2]
 }
 
-// evacuate changes a zone now and then. News of the changes come late, repeated and in any order, and some are lost.
+// evacuate changes a zone at random times. The changes are delivered late, repeatedly and out of order, and some are lost.
 func (s *schedule) evacuate() {
-	if s.evacuating.Float64() < 0.01 {
-		zone := []string{"north", "south"}[s.evacuating.IntN(2)]
-		isEvacuated := !evacuation.New(0, s.history).Has(zone)
-		s.history = append(s.history, evacuation.Change{Zone: zone, Revision: evacuation.Revision(len(s.history) + 1), IsEvacuated: isEvacuated})
+	if s.evacuationRandom.Float64() < 0.01 {
+		zone := []string{"north", "south"}[s.evacuationRandom.IntN(2)]
+		isEvacuated := !evacuation.New(0, s.evacuationHistory).Has(zone)
+		s.evacuationHistory = append(s.evacuationHistory, evacuation.Change{Zone: zone, Revision: evacuation.Revision(len(s.evacuationHistory) + 1), IsEvacuated: isEvacuated})
 	}
-	if len(s.history) > 0 && s.evacuating.Float64() < 0.05 {
-		news := s.history[len(s.history)-1-s.evacuating.IntN(min(len(s.history), 4))]
-		s.tell(evacuation.New(0, []evacuation.Change{news}))
+	if len(s.evacuationHistory) > 0 && s.evacuationRandom.Float64() < 0.05 {
+		change := s.evacuationHistory[len(s.evacuationHistory)-1-s.evacuationRandom.IntN(min(len(s.evacuationHistory), 4))]
+		s.deliverEvacuations(evacuation.New(0, []evacuation.Change{change}))
 	}
 }
 
-// tell tells the dispatcher of evacuations. It fails if something is reserved in an evacuated zone afterwards.
-func (s *schedule) tell(state evacuation.State) {
-	s.told = s.told.Merge(state)
+// deliverEvacuations passes evacuations to the dispatcher. It fails if reservations remain in an evacuated zone.
+func (s *schedule) deliverEvacuations(state evacuation.State) {
+	s.deliveredEvacuations = s.deliveredEvacuations.Merge(state)
 	s.handle(EvacuationsChanged{State: state})
 	for _, a := range s.agents {
-		if a.up && s.told.Has(zoneOf(a.id)) && len(a.reservations) > 0 {
+		if a.up && s.deliveredEvacuations.Has(zoneOf(a.id)) && len(a.reservations) > 0 {
 			s.t.Fatalf("%d reservations at %s, whose availability zone is evacuated", len(a.reservations), a.id)
 		}
 	}
@@ -550,11 +555,11 @@
 func TestRandomSchedulesWithEvacuationsStartNothingThere(t *testing.T) {
 	for seed := *first; seed < *first+uint64(*schedules); seed++ {
 		s := newSchedule(t, seed)
-		s.evacuating = rand.New(rand.NewPCG(seed, 4))
+		s.evacuationRandom = rand.New(rand.NewPCG(seed, 4))
 		s.run(6*time.Second, true)
-		s.evacuating = nil
-		// The zones are taken back, and used again.
-		s.tell(evacuation.New(evacuation.Revision(len(s.history)+1), nil))
+		s.evacuationRandom = nil
+		// The zones are taken back, and jobs use them again.
+		s.deliverEvacuations(evacuation.New(evacuation.Revision(len(s.evacuationHistory)+1), nil))
 		s.run(time.Second, true)
 		s.run(4*time.Second, false)
 		if len(s.waiting) > 0 {
@@ -585,15 +590,15 @@
 	}
 }
 
-// TestRandomSchedulesWithEjection ejects workers and offers probes, while agents lose their sessions and runs fail. Ejected workers get
-// only tasks that may fail, unless all workers are ejected.
+// TestRandomSchedulesWithEjection ejects workers and offers probes while agents lose their sessions and runs fail. Ejected
+// workers may get only tasks that can fail once more, unless all workers are ejected.
 func TestRandomSchedulesWithEjection(t *testing.T) {
-	probes, ignored := 0, 0
+	probeStarts, ignoredEjections := 0, 0
 	for seed := *first; seed < *first+uint64(*schedules); seed++ {
 		s := newSchedule(t, seed)
-		s.ejecting = rand.New(rand.NewPCG(seed, 5))
+		s.ejectionRandom = rand.New(rand.NewPCG(seed, 5))
 		s.run(6*time.Second, true)
-		s.ejecting = nil
+		s.ejectionRandom = nil
 		for _, a := range s.agents {
 			a.isEjected = false
 		}
@@ -604,10 +609,10 @@
 		if jobs, waiting, _ := s.dispatcher.Counts(); jobs > 0 || waiting > 0 || len(s.dispatcher.probes) > 0 {
 			t.Fatalf("seed %d: %d jobs and %d probes are left at the end", seed, jobs, len(s.dispatcher.probes))
 		}
-		probes, ignored = probes+s.probes, ignored+s.ignored
+		probeStarts, ignoredEjections = probeStarts+s.probeStarts, ignoredEjections+s.ignoredEjections
 	}
-	if probes < *schedules || ignored < *schedules {
-		t.Errorf("%d starts used a probe and %d ignored an ejection: the schedules hardly play any", probes, ignored)
+	if probeStarts < *schedules || ignoredEjections < *schedules {
+		t.Errorf("%d starts used a probe and %d ignored an ejection, want at least one of each per schedule on average", probeStarts, ignoredEjections)
 	}
 }
 
--- a/internal/dispatch/reserve_test.go
+++ b/internal/dispatch/reserve_test.go
@@ -12,8 +12,8 @@
 	"sailhead/internal/worker"
 )
 
-// TestATaskUsesAnOfferOfTheOnlyWorkerWithItsLabel lets a task fail on the only worker with the label of its step. It avoids that
-// worker then, and the others cannot run it.
+// TestATaskUsesAnOfferOfTheOnlyWorkerWithItsLabel makes a task fail on the only worker with the label of its step. The
+// task avoids that worker from then on, but no other worker can run it.
 func TestATaskUsesAnOfferOfTheOnlyWorkerWithItsLabel(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	d := busyDispatcher(now, 3, 0)
@@ -30,10 +30,11 @@
 			return
 		}
 	}
-	t.Error("the offer was not used")
+	t.Error("the task did not use the offer of the worker that it avoids")
 }
 
-// TestAJobReservesAtAFewAgentsForEachTask bounds what a job that waits costs on the link of its entry.
+// TestAJobReservesAtAFewAgentsForEachTask checks the limit on the reservations of a waiting job, which bounds its messages
+// on the link of the entry.
 func TestAJobReservesAtAFewAgentsForEachTask(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for tasks, want := range map[int]int{1: 3, 2: 6, 8: 24, 40: 24} {
@@ -47,12 +48,12 @@
 			}
 		}
 		if reserved != want {
-			t.Errorf("a job with %d tasks that wait reserves at %d agents, want %d", tasks, reserved, want)
+			t.Errorf("a job with %d waiting tasks reserves at %d agents, want %d", tasks, reserved, want)
 		}
 	}
 }
 
-// TestAJobReservesElsewhereIfItsAgentsDoNotRespond lets all agents at which a job has reserved fall silent.
+// TestAJobReservesElsewhereIfItsAgentsDoNotRespond makes all agents at which a job has reserved unresponsive.
 func TestAJobReservesElsewhereIfItsAgentsDoNotRespond(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	d := busyDispatcher(now, 67, 0)
@@ -67,18 +68,18 @@
 		}
 		return agents
 	}
-	silent := reservedAt(d.Handle(now, Submitted{Job: job, Waiter: 1}))
+	unresponsive := reservedAt(d.Handle(now, Submitted{Job: job, Waiter: 1}))
 	var events []Event
-	for _, id := range silent {
+	for _, id := range unresponsive {
 		events = append(events, AgentUnresponsive{Agent: id})
 	}
 	others := reservedAt(d.Handle(now, events...))
 	if len(others) != reservationsPerTask {
-		t.Fatalf("the job reserves at %v instead of the silent %v, want %d others", others, silent, reservationsPerTask)
+		t.Fatalf("the job reserves at %v in place of the unresponsive %v, want %d others", others, unresponsive, reservationsPerTask)
 	}
 	for _, id := range others {
-		if slices.Contains(silent, id) {
-			t.Errorf("the job reserves at %s, which does not respond", id)
+		if slices.Contains(unresponsive, id) {
+			t.Errorf("the job reserves at %s, which is unresponsive", id)
 		}
 	}
 }
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -26,13 +26,13 @@
 	dispatcher *Dispatcher
 	waiter     Waiter
 	numbers    map[AgentID]uint64
-	// printsAnswers is set while a command has the argument "notes".
+	// printsAnswers is set while the current command has the argument "notes".
 	printsAnswers bool
-	// printsReservations is set once the command "reservations" came.
+	// printsReservations is set by the command "reservations".
 	printsReservations bool
-	// printsKindFailures is set once the command "kind_failures" came.
+	// printsKindFailures is set by the command "kind_failures".
 	printsKindFailures bool
-	// revision is that of the latest change of an availability zone.
+	// revision is the revision of the latest change of an availability zone.
 	revision evacuation.Revision
 }
 
@@ -47,19 +47,19 @@
 }
 
 // number returns an argument of a command, or a default if it is missing.
-func number(d *datadriven.TestData, key string, otherwise int) int {
+func number(d *datadriven.TestData, key string, fallback int) int {
 	if d.HasArg(key) {
-		d.ScanArgs(current, key, &otherwise)
+		d.ScanArgs(currentTest, key, &fallback)
 	}
-	return otherwise
+	return fallback
 }
 
-// current is the test that is running. Scripts do not run in parallel.
-var current *testing.T
+// currentTest is the test that is running. Scripts do not run in parallel.
+var currentTest *testing.T
 
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
-	current = t
-	agent := AgentID(text(d, "agent"))
+	currentTest = t
+	agent := AgentID(argument(d, "agent"))
 	s.printsAnswers = d.HasArg("notes")
 	switch d.Cmd {
 	case "agent":
@@ -84,20 +84,20 @@
 		return s.chosen(number(d, "agents", 0))
 	case "offer":
 		return s.handle(OfferReceived{Agent: AgentID(d.CmdArgs[0].Key), Offer: runner.Offer{
-			ID: runner.OfferID(number(d, "id", 1)), Job: text(d, "job"), Left: number(d, "left", 0),
+			ID: runner.OfferID(number(d, "id", 1)), Job: argument(d, "job"), Left: number(d, "left", 0),
 			Resources: worker.Resources{CPU: number(d, "cpu", 1000)}, IsProbe: d.HasArg("probe"),
 		}})
 	case "submit":
 		return s.submit(d)
 	case "run":
 		return s.handle(RunUpdated{Agent: agent, Update: runner.Update{
-			Name: d.CmdArgs[0].Key, Run: uint32(number(d, "run", 1)), Outcome: endingOf(t, d.CmdArgs[1].Key),
+			Name: d.CmdArgs[0].Key, Run: uint32(number(d, "run", 1)), Outcome: parseOutcome(t, d.CmdArgs[1].Key),
 		}})
 	case "wait":
 		s.now = s.now.Add(time.Duration(number(d, "ms", 0)) * time.Millisecond)
 		return s.handle(Ticked{})
 	case "suspend":
-		// Time goes on, and the timers are late: the next event is handled before a tick.
+		// Time advances without a tick, as if the VM was suspended: the next event is handled before a tick.
 		s.now = s.now.Add(time.Duration(number(d, "ms", 0)) * time.Millisecond)
 		return ""
 	case "down":
@@ -120,15 +120,15 @@
 	}
 }
 
-func text(d *datadriven.TestData, key string) string {
+func argument(d *datadriven.TestData, key string) string {
 	var value string
 	if d.HasArg(key) {
-		d.ScanArgs(current, key, &value)
+		d.ScanArgs(currentTest, key, &value)
 	}
 	return value
 }
 
-func endingOf(t *testing.T, name string) runner.Outcome {
+func parseOutcome(t *testing.T, name string) runner.Outcome {
 	for o := runner.OutcomeStarted; o <= runner.OutcomeLost; o++ {
 		if o.String() == name {
 			return o
@@ -145,7 +145,7 @@
 	}})
 }
 
-// chosen registers so many agents, a, b and so on, and chooses them all.
+// chosen registers a number of agents, named a, b and so on, and selects all of them for sessions.
 func (s *script) chosen(agents int) string {
 	var registered []AgentID
 	for i := range agents {
@@ -154,7 +154,7 @@
 	return s.handle(AgentsRegistered{Agents: registered, Chosen: agents})
 }
 
-// evacuate changes an availability zone, at the next revision unless one is given.
+// evacuate evacuates an availability zone or takes it back, at the next revision if none is given.
 func (s *script) evacuate(zone string, isEvacuated bool, revision evacuation.Revision) string {
 	if revision == 0 {
 		s.revision++
@@ -164,19 +164,20 @@
 	return s.handle(EvacuationsChanged{State: evacuation.New(0, []evacuation.Change{change})})
 }
 
-// describeWorker describes the worker of an agent. Its incarnation is "w" unless the argument "id" says otherwise.
+// describeWorker describes the worker of an agent. Its ID is "w" unless the argument "id" is given.
 func (s *script) describeWorker(agent AgentID, d *datadriven.TestData) string {
-	id := text(d, "id")
+	id := argument(d, "id")
 	if id == "" {
 		id = "w"
 	}
-	record := worker.Record{ID: id, Service: "svc", Zone: text(d, "zone"), Capacity: worker.Resources{CPU: number(d, "cpu", 8000)}}
+	record := worker.Record{ID: id, Service: "svc", Zone: argument(d, "zone"), Capacity: worker.Resources{CPU: number(d, "cpu", 8000)}}
 	return s.handle(WorkerDescribed{Agent: agent, Record: record})
 }
 
-// crash parses the crash of an incarnation: its id, then TASK=RUN for each run that was running, TASK=(RUN,latest) for
-// the latest one, TASK=(RUN,uncertain) for one that may not have been running, and TASK=(RUN,isolated) for one of a contained job
-// that was started last. A further value is the age of the run, zero without one. All are of the kind "kind".
+// crash parses the crash of an incarnation: its ID, then TASK=RUN for each run that was running, TASK=(RUN,latest) for
+// the latest one, TASK=(RUN,uncertain) for one that may not have been running, and TASK=(RUN,isolated) for one of a
+// contained job that was started last. A further value is the age of the run, which is zero by default. All runs are of
+// defaultKind.
 func (s *script) crash(d *datadriven.TestData) runner.Crash {
 	crash := runner.Crash{Incarnation: worker.Incarnation{ID: d.CmdArgs[0].Key}, Age: time.Duration(number(d, "age", 0)) * time.Millisecond}
 	for _, arg := range d.CmdArgs[1:] {
@@ -196,7 +197,7 @@
 	return crash
 }
 
-// ageIn returns the age among the values of a run, zero if there is none.
+// ageIn returns the age that is among the values of a run, zero if there is none.
 func ageIn(values []string) time.Duration {
 	for _, value := range values {
 		if age, err := time.ParseDuration(value); err == nil && strings.HasSuffix(value, "ms") {
@@ -206,11 +207,11 @@
 	return 0
 }
 
-// defaultKind is the kind of a job unless the argument "kind" names another one.
+// defaultKind is the kind of a job without the argument "kind".
 const defaultKind = "kind"
 
 func kindOf(d *datadriven.TestData) string {
-	if kind := text(d, "kind"); kind != "" {
+	if kind := argument(d, "kind"); kind != "" {
 		return kind
 	}
 	return defaultKind
@@ -237,25 +238,25 @@
 	return s.handle(Submitted{Job: job, Waiter: s.waiter})
 }
 
-// handle passes an event to the dispatcher and prints the effects. Of the decisions it prints only answers, and only
-// if the command has the argument "notes".
+// handle passes an event to the dispatcher and prints the effects. Of the decisions it prints given-up tasks and
+// containments, and answers if the command has the argument "notes".
 func (s *script) handle(event Event) string {
 	var out strings.Builder
 	for _, effect := range s.dispatcher.Handle(s.now, event) {
 		switch e := effect.(type) {
 		case StartTask:
 			s.numbers[e.Agent] = e.Number
-			about := ""
+			details := ""
 			if e.Task.IsContained {
-				about = " contained"
+				details = " contained"
 			}
 			if e.Task.IgnoresEjection {
-				about += " ignores_ejection"
+				details += " ignores_ejection"
 			}
 			if s.printsKindFailures {
-				about += fmt.Sprintf(" kind_failures=%.2f", e.Task.KindFailureRate)
+				details += fmt.Sprintf(" kind_failures=%.2f", e.Task.KindFailureRate)
 			}
-			fmt.Fprintf(&out, "start %s at %s run=%d%s%s\n", e.Task.Name, e.Agent, e.Task.Run, describeOffer(e.Task.Offer), about)
+			fmt.Fprintf(&out, "start %s at %s run=%d%s%s\n", e.Task.Name, e.Agent, e.Task.Run, describeOffer(e.Task.Offer), details)
 		case StopTask:
 			fmt.Fprintf(&out, "stop %s at %s\n", e.Name, e.Agent)
 		case Reserve:
@@ -316,7 +317,7 @@
 	}
 }
 
-// describeLate prints the tasks of a late answer. It expects them to have been placed and done.
+// describeLate formats the tasks of a late answer. All of them must have been placed and completed.
 func describeLate(late *LateAnswer) string {
 	if late == nil {
 		return ""
