--- a/internal/dispatch/agent.go
+++ b/internal/dispatch/agent.go
@@ -121,7 +121,7 @@
 // agentUp adds an agent whose worker and load are not known yet. It replaces an agent with the same ID.
 func (d *Dispatcher) agentUp(id AgentID) {
 	d.removeAgent(id)
-	d.forgetReservationsAt(id)
+	d.discardReservationsAt(id)
 	a := &agent{id: id, timeFactor: 1}
 	d.agents[id] = a
 	at, _ := d.searchAgent(id)
@@ -175,7 +175,7 @@
 	}
 	a.record = e.Record
 	a.evacuated = d.evacuations.Has(a.record.Zone)
-	d.forgetReservationsAt(e.Agent)
+	d.discardReservationsAt(e.Agent)
 	d.emit(DecisionMade{Decision: DecisionWorker{Incarnation: e.Record.Incarnation()}, Agent: e.Agent})
 	d.workerReplaced(now, a)
 }
--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -98,7 +98,7 @@
 		return nil
 	}
 	tasks := slices.Clone(j.tasks)
-	slices.SortStableFunc(tasks, func(a, b *task) int { return b.endedOr(now).Compare(a.endedOr(now)) })
+	slices.SortStableFunc(tasks, func(a, b *task) int { return b.completedOr(now).Compare(a.completedOr(now)) })
 	late := &LateAnswer{Objective: j.objective}
 	for _, t := range tasks[:min(len(tasks), maxSlowestTasks)] {
 		late.Slowest = append(late.Slowest, j.progressOf(t))
@@ -106,10 +106,10 @@
 	return late
 }
 
-// endedOr returns when the task was completed, or now if it was not.
-func (t *task) endedOr(now time.Time) time.Time {
+// completedOr returns when the task was completed, or now if it was not.
+func (t *task) completedOr(now time.Time) time.Time {
 	if t.state == taskDone {
-		return t.ended
+		return t.completedAt
 	}
 	return now
 }
@@ -125,7 +125,7 @@
 	}
 	if t.state == taskDone {
 		p.IsDone = true
-		p.Done = t.ended.Sub(j.arrived)
+		p.Done = t.completedAt.Sub(j.arrived)
 	}
 	return p
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -199,7 +199,7 @@
 func (d *Dispatcher) tick(now time.Time) {
 	d.isPlaceDue = true
 	d.expire(now)
-	d.forgetEndedRuns(now)
+	d.removeEndedRuns(now)
 	d.forgetCrashes(now)
 	d.updateContainment(now)
 	d.moveStuckRuns(now)
--- a/internal/dispatch/distance.go
+++ b/internal/dispatch/distance.go
@@ -28,7 +28,7 @@
 // expectedAt returns the run time of a step against which an agent may judge the health of its worker, without the
 // worker's own time factor. It is zero if too little is known.
 func (j *job) expectedAt(step int, a *agent) time.Duration {
-	return time.Duration(j.rackFactor(step, a) * float64(j.times[step].forHealth()))
+	return time.Duration(j.rackFactor(step, a) * float64(j.times[step].healthBaseline()))
 }
 
 // estimateAt returns the estimated run time of a step at an agent, without the worker's own time factor.
--- a/internal/dispatch/durable.go
+++ b/internal/dispatch/durable.go
@@ -66,7 +66,7 @@
 	if t.state == taskSent {
 		d.emit(StopTask{Agent: t.agent, Name: t.name})
 	}
-	t.showsRunTime = false
+	t.isRunTimeRepresentative = false
 	d.completeTask(now, j, t)
 }
 
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -47,9 +47,9 @@
 	longest time.Duration
 }
 
-// forHealth returns the run time against which an agent may judge the health of its worker. It is zero if the estimate
-// is not learned, as a guess alone is not accurate enough.
-func (s stepEstimate) forHealth() time.Duration {
+// healthBaseline returns the run time against which an agent may judge the health of its worker. It is zero if the
+// estimate is not learned, as a guess alone is not accurate enough.
+func (s stepEstimate) healthBaseline() time.Duration {
 	if !s.isLearned {
 		return 0
 	}
@@ -141,7 +141,7 @@
 		if t.step != step {
 			continue
 		}
-		if !t.showsRunTime {
+		if !t.isRunTimeRepresentative {
 			return
 		}
 		sum += t.runTime
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -47,9 +47,9 @@
 // Inputs: the time since the run was sent, the expected run time of the task, the slowness of the worker, the number of
 // times the task was moved, the expiry of the job.
 //
-// Rule: the worker is unhealthy; a stop and a new run take less time than the current run still needs (timeLeft), by at
-// least minMoveGain of the expected run time; the task was moved fewer than maxMoves times and does not avoid this worker
-// yet; and a new run would end before the job expires. Durable jobs do not expire.
+// Rule: the worker is unhealthy; a stop and a new run take less time than the current run still needs (remainingTime), by
+// more than minMoveGain of the expected run time; the task was moved fewer than maxMoves times, and never from this
+// worker; and a new run would end before the job expires. Durable jobs do not expire.
 //
 // Reason: without moves, jobs wait for runs on slow or hanging workers. The rule depends on the worker's health because
 // the expected time of a single run is often wrong by a factor of two.
@@ -62,15 +62,15 @@
 		return false
 	}
 	expected := j.times[t.step].task
-	gain := a.timeLeft(j.timeAt(t.step, a), now.Sub(t.placed)) - timing.StopTime - expected
+	gain := a.remainingTime(j.timeAt(t.step, a), now.Sub(t.placed)) - timing.StopTime - expected
 	isInTime := j.isDurable || now.Add(expected).Before(j.expiresAt())
 	return float64(gain) > minMoveGain*float64(expected) && isInTime
 }
 
-// timeLeft returns how much longer a run that was sent elapsed ago is expected to take on the worker: the usual time
+// remainingTime returns how much longer a run that was sent elapsed ago is expected to take on the worker: the usual time
 // multiplied by the worker's slowness, minus elapsed. A run that has exceeded this time is expected to take as long again
 // as it has exceeded it by.
-func (a *agent) timeLeft(usual, elapsed time.Duration) time.Duration {
+func (a *agent) remainingTime(usual, elapsed time.Duration) time.Duration {
 	left := time.Duration(a.load.Slowness*float64(usual)) - elapsed
 	return left.Abs()
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -111,7 +111,7 @@
 	t.state = taskSent
 	t.agent = p.agent.id
 	t.placed = now
-	t.showsRunTime = t.run == 0
+	t.isRunTimeRepresentative = t.run == 0
 	t.run++
 	j.everSent = true
 	d.forecasts.placed(now, j, 1)
--- a/internal/dispatch/rerun.go
+++ b/internal/dispatch/rerun.go
@@ -39,10 +39,10 @@
 		return
 	}
 	d.removeAgent(id)
-	d.forgetReservationsAt(id)
+	d.discardReservationsAt(id)
 	d.emit(DecisionMade{Decision: DecisionAgentDown{}, Agent: id})
 	lost := lostSession{incarnation: a.record.Incarnation(), at: now, runs: d.endingRunsAt(id)}
-	d.boundEndingRuns(now, id)
+	d.limitEndingRuns(now, id)
 	for _, j := range d.jobsByArrival() {
 		for _, t := range j.tasks {
 			if t.isAt(id) {
@@ -132,8 +132,8 @@
 	}
 }
 
-// boundEndingRuns sets the time by which the runs of dropped jobs at a lost agent have ended at the latest.
-func (d *Dispatcher) boundEndingRuns(now time.Time, id AgentID) {
+// limitEndingRuns sets the time by which the runs of dropped jobs at a lost agent have ended at the latest.
+func (d *Dispatcher) limitEndingRuns(now time.Time, id AgentID) {
 	for name, run := range d.endingRuns {
 		if run.agent == id && run.endedBy.IsZero() {
 			run.endedBy = now.Add(timing.RerunDelay)
@@ -142,8 +142,8 @@
 	}
 }
 
-// forgetEndedRuns removes the runs of dropped jobs that have ended by now.
-func (d *Dispatcher) forgetEndedRuns(now time.Time) {
+// removeEndedRuns removes the runs of dropped jobs that have ended by now.
+func (d *Dispatcher) removeEndedRuns(now time.Time) {
 	for name, run := range d.endingRuns {
 		if !run.endedBy.IsZero() && !now.Before(run.endedBy) {
 			delete(d.endingRuns, name)
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -145,9 +145,9 @@
 	*r = reservation{}
 }
 
-// forgetReservationsAt removes an agent from the reservations of all jobs without cancelling them, because the agent has
-// discarded them: its session ended or its worker changed.
-func (d *Dispatcher) forgetReservationsAt(id AgentID) {
+// discardReservationsAt removes the reservations at an agent without cancelling them, because the agent has discarded
+// them: its session ended or its worker changed.
+func (d *Dispatcher) discardReservationsAt(id AgentID) {
 	for _, j := range d.waiting {
 		delete(j.reservation.agents, id)
 	}
@@ -182,7 +182,7 @@
 	remaining := e.Offer.Resources
 	for _, j := range d.waiting {
 		if a.mayGetTasks() && d.isOfferedTo(j, e.Offer) && d.mayUseOffer(now, j, a) && j.canUse(remaining) && d.mayPlace(now, j) {
-			remaining = d.placeInOffer(now, j, a, e.Offer.ID, remaining)
+			remaining = d.placeFromOffer(now, j, a, e.Offer.ID, remaining)
 		}
 	}
 	d.emit(AnswerOffer{Agent: a.id, Offer: e.Offer.ID})
@@ -207,8 +207,8 @@
 	return !a.isTooSlow(now, j) || !slices.ContainsFunc(d.ordered, isSuitable)
 }
 
-// placeInOffer sends the tasks of a job that fit into the resources left of an offer, and returns what remains of them.
-func (d *Dispatcher) placeInOffer(now time.Time, j *job, a *agent, id runner.OfferID, remaining worker.Resources) worker.Resources {
+// placeFromOffer sends the tasks of a job that fit into the resources left of an offer, and returns what remains of them.
+func (d *Dispatcher) placeFromOffer(now time.Time, j *job, a *agent, id runner.OfferID, remaining worker.Resources) worker.Resources {
 	p := planner{job: j}
 	for _, t := range d.placeable(now, j) {
 		step := j.Steps[t.step]
--- a/internal/dispatch/runs.go
+++ b/internal/dispatch/runs.go
@@ -74,11 +74,11 @@
 // completeTask marks a task as done. The last task ends its job.
 func (d *Dispatcher) completeTask(now time.Time, j *job, t *task) {
 	t.state = taskDone
-	t.ended = now
+	t.completedAt = now
 	t.runTime = d.referenceTime(j, t, now.Sub(t.placed))
 	delete(d.suspects, t.name)
 	d.returns.done(now, workOf(1, j.Steps[t.step].Needs.CPU, now.Sub(t.placed)))
-	t.showsRunTime = t.showsRunTime && d.isAgentHealthy(t.agent)
+	t.isRunTimeRepresentative = t.isRunTimeRepresentative && d.isAgentHealthy(t.agent)
 	j.open[t.step]--
 	if j.open[t.step] > 0 {
 		return
--- a/internal/dispatch/task.go
+++ b/internal/dispatch/task.go
@@ -46,12 +46,13 @@
 	moves int
 	// placed is when the latest run was sent.
 	placed time.Time
-	// ended is when the task was completed, zero until then.
-	ended time.Time
+	// completedAt is when the task was completed, zero until then.
+	completedAt time.Time
 	// runTime is the time from placed until the task was completed, converted by referenceTime. It is zero until then.
 	runTime time.Duration
-	// showsRunTime is set if the time from placed until completion is the run time of the task on a healthy worker.
-	showsRunTime bool
+	// isRunTimeRepresentative is set if the time from placed until completion is the run time of the task on a healthy
+	// worker.
+	isRunTimeRepresentative bool
 	// avoidedAgents lists the agents where the task failed, or was stopped because it took too long.
 	avoidedAgents []AgentID
 	// checkpoint is the checkpoint that the latest run saved before it was stopped or lost.
