--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -81,7 +81,8 @@
 	kindOutcomes map[string]ejection.Outcomes
 	// runTimes is used to estimate how long tasks run.
 	runTimes runTimes
-	// lastStepTimes holds, by the kind's name, when runTimes last learned from a step.
+	// lastStepTimes holds, by the kind's name, when the latest step that runTimes is based on was observed, at this entry or
+	// another one.
 	lastStepTimes map[string]time.Time
 	// callerTimes is used to detect late retries.
 	callerTimes callerTimes
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -48,8 +48,8 @@
 // times the task was moved, the expiry of the job.
 //
 // Rule: the worker is unhealthy; a stop and a new run take less time than the current run still needs (remainingTime), by
-// more than minMoveGain of the expected run time; the task was moved fewer than maxMoves times, and never from this
-// worker; and a new run would end before the job expires. Durable jobs do not expire.
+// more than minMoveGain of the expected run time; the task was moved fewer than maxMoves times, and neither failed on this
+// worker nor was moved from it before; and a new run would end before the job expires. Durable jobs do not expire.
 //
 // Reason: without moves, jobs wait for runs on slow or hanging workers. The rule depends on the worker's health because
 // the expected time of a single run is often wrong by a factor of two.
--- a/internal/dispatch/place_test.go
+++ b/internal/dispatch/place_test.go
@@ -30,7 +30,7 @@
 	return d
 }
 
-// busyLoad returns the load of a worker with reservations, which has free thousandths of a core left.
+// busyLoad returns the load of a worker with reservations and with free, in thousandths of a core, as its free CPU.
 func busyLoad(free int) runner.Load {
 	return runner.Load{Accepts: true, Slowness: 1, HasReservations: true, Used: worker.Resources{CPU: 32000 - free}}
 }
--- a/internal/dispatch/runs.go
+++ b/internal/dispatch/runs.go
@@ -12,8 +12,8 @@
 
 // updateRun applies an agent's report on a run that was sent to it. Reports on other runs are ignored.
 //
-// Durable jobs are handled like others, except that the start of the job and the ends of its runs are passed to package
-// durable, which answers the callers (see endJob).
+// Durable jobs are handled like others, except that the start of the job and the ends of its completed and failed runs are
+// passed to package durable, which records the ends and answers the callers (see endJob).
 func (d *Dispatcher) updateRun(now time.Time, e RunUpdated) {
 	if d.isEndingRun(e) {
 		d.updateEndingRun(e)
