--- a/internal/runner/admission.go
+++ b/internal/runner/admission.go
@@ -127,7 +127,7 @@
 			s.loadDue = false
 			s.ownLoadDue = false
 			s.loadSent = now
-			r.emit(SendLoad{Session: s.id, Handled: s.handledStarts, Load: r.currentLoad(now)})
+			r.emit(SendLoad{Session: s.id, Handled: s.lastHandledStart, Load: r.currentLoad(now)})
 		}
 	}
 }
--- a/internal/runner/queue.go
+++ b/internal/runner/queue.go
@@ -35,7 +35,7 @@
 	if !ok {
 		return
 	}
-	s.handledStarts = max(s.handledStarts, e.Number)
+	s.lastHandledStart = max(s.lastHandledStart, e.Number)
 	s.loadDue = true
 	s.ownLoadDue = true
 	earlier, exists := r.tasks[e.Task.Name]
@@ -50,7 +50,7 @@
 	}
 	s.missedOffer = false
 	t := &task{Task: e.Task, session: e.Session, arrived: now, competitor: s.competitor(e.Task.Kind)}
-	r.noteArrival(now, e.Task.Kind, e.Task.Needs, e.Task.Estimate, e.Task.Urgency)
+	r.recordArrival(now, e.Task.Kind, e.Task.Needs, e.Task.Estimate, e.Task.Urgency)
 	if exists {
 		r.supersede(now, earlier, t)
 		return
@@ -94,13 +94,13 @@
 	r.markLoadDue()
 }
 
-// rerun queues a task again whose run has ended without a result.
-func (r *Runner) rerun(t *task) {
+// requeueWithNewRun queues a task again whose run has ended without a result.
+func (r *Runner) requeueWithNewRun(t *task) {
 	t.Run++
 	r.requeue(t)
 }
 
-func (r *Runner) unqueue(t *task) {
+func (r *Runner) removeFromQueue(t *task) {
 	if at := slices.Index(r.queue, t); at >= 0 {
 		r.queue = slices.Delete(r.queue, at, at+1)
 	}
@@ -121,7 +121,7 @@
 		if !r.fits(t) || r.mustYield(now, t) || !r.leavesHeadroom(now, t) {
 			continue
 		}
-		r.unqueue(t)
+		r.removeFromQueue(t)
 		if !r.isSessionValid(now, t.session) {
 			r.finish(t, OutcomeNotStarted, "the session has ended")
 			continue
@@ -139,7 +139,7 @@
 func (r *Runner) rejectQueued(reason string, matches func(*task) bool) {
 	for _, t := range slices.Clone(r.queue) {
 		if matches(t) {
-			r.unqueue(t)
+			r.removeFromQueue(t)
 			r.finish(t, OutcomeNotStarted, reason)
 		}
 	}
--- a/internal/runner/renew.go
+++ b/internal/runner/renew.go
@@ -123,7 +123,7 @@
 		r.raiseFence(e.Fence, fenceStep)
 		r.requestListing(now)
 	case worker.Unanswered:
-		r.noteUnansweredRenewal(now, e, result)
+		r.handleUnansweredRenewal(now, e, result)
 	case worker.Invalid, worker.Unhealthy, worker.WrongIncarnation, worker.NotReached:
 		r.handleWorkerState(now, e.Incarnation, e.Ended.Add(-e.Took), e.Result)
 	}
@@ -142,9 +142,9 @@
 	}
 }
 
-// noteUnansweredRenewal notes what a renewal without an answer tells of the worker. If the worker closed the connection, it is asked at
+// handleUnansweredRenewal notes what a renewal without an answer tells of the worker. If the worker closed the connection, it is asked at
 // once whether it is still there: sooner than with the next renewal, entries then run the tasks elsewhere.
-func (r *Runner) noteUnansweredRenewal(now time.Time, e RenewAnswered, result worker.Unanswered) {
+func (r *Runner) handleUnansweredRenewal(now time.Time, e RenewAnswered, result worker.Unanswered) {
 	if !result.IsClosed {
 		return
 	}
@@ -162,14 +162,14 @@
 	if sent.After(r.worker.lastAnswered) {
 		r.worker.lastAnswered = sent
 	}
-	r.worker.noteAnswer(sent)
+	r.worker.recordAnswer(sent)
 	if wasUnresponsive {
 		r.markLoadDue()
 	}
 }
 
-// noteAnswer notes that a renewal was answered that was sent at a time. One that was sent later is still to be answered.
-func (i *incarnation) noteAnswer(sent time.Time) {
+// recordAnswer notes that a renewal was answered that was sent at a time. One that was sent later is still to be answered.
+func (i *incarnation) recordAnswer(sent time.Time) {
 	switch {
 	case sent.Before(i.askedAt):
 	case sent.Before(i.lastRenewSent):
--- a/internal/runner/reservation.go
+++ b/internal/runner/reservation.go
@@ -106,7 +106,7 @@
 		r.reservations[at].Reservation = e.Reservation
 		r.reservations[at].competitor = s.competitor(e.Reservation.Kind)
 	case r.countReservations(e.Session) < maxReservations:
-		r.noteArrival(r.now, e.Reservation.Kind, e.Reservation.Needs, e.Reservation.Estimate, e.Reservation.Urgency)
+		r.recordArrival(r.now, e.Reservation.Kind, e.Reservation.Needs, e.Reservation.Estimate, e.Reservation.Urgency)
 		added := &reservation{Reservation: e.Reservation, session: e.Session, competitor: s.competitor(e.Reservation.Kind)}
 		r.reservations = append(r.reservations, added)
 		r.markLoadDue()
@@ -148,8 +148,8 @@
 // time only in one order.
 func (r *Runner) offersInOrder() []OfferID { return slices.Sorted(maps.Keys(r.offers)) }
 
-// offerFree offers the free resources to the reservations in their order.
-func (r *Runner) offerFree(now time.Time) {
+// offerFreeResources offers the free resources to the reservations in their order.
+func (r *Runner) offerFreeResources(now time.Time) {
 	if len(r.reservations) == 0 || r.isEjected() || r.refusalReason(now) != "" || now.Before(r.worker.fullUntil) {
 		return
 	}
@@ -165,7 +165,7 @@
 // nextReservation returns the reservation that comes first of those of which a task fits into what is free for it, or nil.
 func (r *Runner) nextReservation(now time.Time) *reservation {
 	var best *reservation
-	var first claim
+	var first precedence
 	free := r.free()
 	for _, other := range r.reservations {
 		if !other.Needs.Fits(free) || !r.leavesRoom(now, free, other) || !r.mayOffer(now, other.session) {
@@ -175,7 +175,7 @@
 			// It does not come first whatever its share is.
 			continue
 		}
-		if c := r.claimOf(now, other.competitor, other.Urgency); best == nil || c.compare(first, now) < 0 {
+		if c := r.precedenceOf(now, other.competitor, other.Urgency); best == nil || c.compare(first, now) < 0 {
 			best, first = other, c
 		}
 	}
@@ -267,7 +267,7 @@
 		return false
 	}
 	best := r.nextReservation(now)
-	return best != nil && r.claimOf(now, best.competitor, best.Urgency).compare(r.claimOf(now, t.competitor, t.Urgency), now) < 0
+	return best != nil && r.precedenceOf(now, best.competitor, best.Urgency).compare(r.precedenceOf(now, t.competitor, t.Urgency), now) < 0
 }
 
 // free returns the resources of the worker that are neither used nor offered. Parts of it are negative after the worker has
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -30,9 +30,9 @@
 	NoShares bool
 }
 
-// defaultQueue is the largest number of queued tasks: tasks wait in the queue for a repeated start only, so more of them than run on any
+// defaultQueueLimit is the largest number of queued tasks: tasks wait in the queue for a repeated start only, so more of them than run on any
 // worker is a fault of the entries.
-const defaultQueue = 512
+const defaultQueueLimit = 512
 
 // DefaultLimits returns the limits for a worker that grants leases of up to maxLease and stops runs within stopTime.
 func DefaultLimits(maxLease, stopTime time.Duration) Limits {
@@ -42,7 +42,7 @@
 		IdlePing: timing.IdlePingInterval,
 		Lease:    min(maxLease, timing.WorkerLease),
 		Stop:     stopTime,
-		Queue:    defaultQueue,
+		Queue:    defaultQueueLimit,
 	}
 }
 
@@ -64,8 +64,8 @@
 	// unsettled are tasks of ended incarnations that are not reported as lost yet, the oldest first.
 	unsettled []unsettledTask
 	sessions  map[SessionID]*session
-	// ordered are the same sessions in the order in which they were opened.
-	ordered []*session
+	// orderedSessions are the same sessions in the order in which they were opened.
+	orderedSessions []*session
 	// tasks are the queued and active tasks by name, without those that wait in supersededBy.
 	tasks map[string]*task
 	// queue are the tasks in stateQueued.
@@ -124,7 +124,7 @@
 	r.applyEjection(now)
 	r.startQueued(now)
 	r.pollIfDue(now)
-	r.offerFree(now)
+	r.offerFreeResources(now)
 	r.noteHeard(now)
 	r.sendLoads(now)
 	return r.effects
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -20,8 +20,8 @@
 	validUntil time.Time
 	// roundTrip is how long the latest ping and its echo took.
 	roundTrip time.Duration
-	// handledStarts is the number of the session's latest start that the load counts.
-	handledStarts uint64
+	// lastHandledStart is the number of the session's latest start that the load counts.
+	lastHandledStart uint64
 	// loadDue is set while the load has changed since it was last sent, and ownLoadDue while that concerns tasks or
 	// reservations of this session.
 	loadDue    bool
@@ -58,14 +58,14 @@
 // sessionsInOrder returns the sessions in the order in which they were opened. The result stays as it is when sessions open
 // or end.
 func (r *Runner) sessionsInOrder() []*session {
-	return r.ordered
+	return r.orderedSessions
 }
 
 // sortSessions makes the slice of sessionsInOrder anew, after a session was added or removed.
 func (r *Runner) sortSessions() {
-	r.ordered = make([]*session, 0, len(r.sessions))
+	r.orderedSessions = make([]*session, 0, len(r.sessions))
 	for _, id := range slices.Sorted(maps.Keys(r.sessions)) {
-		r.ordered = append(r.ordered, r.sessions[id])
+		r.orderedSessions = append(r.orderedSessions, r.sessions[id])
 	}
 }
 
--- a/internal/runner/shares.go
+++ b/internal/runner/shares.go
@@ -30,8 +30,8 @@
 	areBoundsDue bool
 	// scarceUntil is until when tasks leave room for shorter ones.
 	scarceUntil time.Time
-	// toldAt is when SharesDivided was emitted last.
-	toldAt time.Time
+	// lastEmitted is when SharesDivided was emitted last.
+	lastEmitted time.Time
 }
 
 func newSharing() sharing {
@@ -49,25 +49,25 @@
 	return shares.Competitor{Zone: s.zone, Kind: kind}
 }
 
-// claim is what decides who comes first for free resources.
-type claim struct {
+// precedence is what decides who comes first for free resources.
+type precedence struct {
 	// isBelowShare is set if the competitor was given its share or less.
 	isBelowShare bool
 	urgency      Urgency
 }
 
-// claimOf returns the claim of a reservation or a task.
-func (r *Runner) claimOf(now time.Time, c shares.Competitor, u Urgency) claim {
-	return claim{isBelowShare: !r.limits.NoShares && r.sharing.accounts.IsBelow(now, c), urgency: u}
+// precedenceOf returns the claim of a reservation or a task.
+func (r *Runner) precedenceOf(now time.Time, c shares.Competitor, u Urgency) precedence {
+	return precedence{isBelowShare: !r.limits.NoShares && r.sharing.accounts.IsBelow(now, c), urgency: u}
 }
 
 // compare returns the order of two claims at a time: negative if c comes first.
-func (c claim) compare(other claim, now time.Time) int {
+func (c precedence) compare(other precedence, now time.Time) int {
 	return cmp.Or(trueFirst(c.isBelowShare, other.isBelowShare), c.urgency.Compare(other.urgency, now))
 }
 
-// noteArrival notes a task or a reservation that asks for room.
-func (r *Runner) noteArrival(now time.Time, kind string, needs worker.Resources, estimate time.Duration, urgency Urgency) {
+// recordArrival notes a task or a reservation that asks for room.
+func (r *Runner) recordArrival(now time.Time, kind string, needs worker.Resources, estimate time.Duration, urgency Urgency) {
 	if !r.limits.NoShares {
 		r.sharing.kinds.Arrived(now, kind, needs.CPU, estimate, urgency.StartBy.Sub(now))
 	}
@@ -112,8 +112,8 @@
 		r.sharing.scarceUntil = now.Add(scarceTime)
 	}
 	divided := r.sharing.accounts.Divide(now, cores(r.worker.record.Capacity), waiting)
-	if len(waiting) > 1 && now.Sub(r.sharing.toldAt) >= sharesInterval {
-		r.sharing.toldAt = now
+	if len(waiting) > 1 && now.Sub(r.sharing.lastEmitted) >= sharesInterval {
+		r.sharing.lastEmitted = now
 		r.emit(SharesDivided{Shares: divided})
 	}
 }
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -26,9 +26,9 @@
 	fenceStep = 1 << 30
 	// checkStep is added to the fencing token to fence a start without an answer.
 	checkStep = 1
-	// runStep is added to a run number that the worker has already seen end or stop: the agent does not know how far the worker has come. A
+	// runNumberStep is added to a run number that the worker has already seen end or stop: the agent does not know how far the worker has come. A
 	// task rarely has as many runs, and another step follows if it has.
-	runStep = 16
+	runNumberStep = 16
 )
 
 // start sends the start of a queued task to the worker.
@@ -67,11 +67,11 @@
 	t.sent, t.startTook = e.Sent, e.Ended.Sub(e.Sent)
 	switch result := e.Result.(type) {
 	case worker.Accepted:
-		r.noteAccepted(t, e, result)
+		r.recordAccepted(t, e, result)
 		r.markStarted(e.Ended, t, result.Clock)
 	case worker.Outdated:
 		r.requeue(t)
-		t.Run += runStep
+		t.Run += runNumberStep
 	case worker.Fenced:
 		r.raiseFence(t.fence, fenceStep)
 		r.requeue(t)
@@ -96,9 +96,9 @@
 	}
 }
 
-// noteAccepted notes that a process of the worker's ID has accepted a start: the incarnation, unless it may start again under its ID and
+// recordAccepted notes that a process of the worker's ID has accepted a start: the incarnation, unless it may start again under its ID and
 // the clock in the answer is not its own.
-func (r *Runner) noteAccepted(t *task, e StartAnswered, result worker.Accepted) {
+func (r *Runner) recordAccepted(t *task, e StartAnswered, result worker.Accepted) {
 	w := r.worker
 	w.readClock(result.Clock, result.Received)
 	t.isOnClock = w.isOnClock(result.Reply)
@@ -136,7 +136,7 @@
 		return
 	}
 	r.observeNotBegun(now, t)
-	r.rerun(t)
+	r.requeueWithNewRun(t)
 }
 
 // raiseFence raises the fencing token above that of a call, unless it was raised since the call was sent.
--- a/internal/runner/stop.go
+++ b/internal/runner/stop.go
@@ -52,7 +52,7 @@
 func (r *Runner) stop(now time.Time, t *task) {
 	switch t.state {
 	case stateQueued:
-		r.unqueue(t)
+		r.removeFromQueue(t)
 		r.finish(t, OutcomeNotStarted, reasonStoppedBeforeStart)
 	case stateStopping:
 	default:
