--- a/internal/runner/admission.go
+++ b/internal/runner/admission.go
@@ -9,16 +9,16 @@
 	"sailhead/internal/timing"
 )
 
-// When the worker accepts tasks
+// Admission
 //
-// Inputs: the shutdown of the agent, the worker's record, the answers to renewals and starts, its listing of runs.
-// Rule: refusalReason returns the first condition that prevents new tasks. Load.Accepts is false while there is one, and
-// queued tasks wait. A worker that is only full accepts tasks into the queue. Load.Accepts is false also
-// while the worker is ejected, although some starts are accepted then (ejectedReason).
-// Reason: the entry places a rejected task elsewhere at once. A task that is sent to a worker which does not answer can
-// run elsewhere only after its lease has expired.
+// Inputs: the shutdown of the agent, the worker's record, the answers to renewals and starts, the listing of runs.
+// Rule: refusalReason returns the first condition that prevents new tasks. While there is one, Load.Accepts is false and
+// queued tasks wait. If the worker is only full, tasks are accepted into the queue. Load.Accepts is also false while the
+// worker is ejected, although some starts are accepted then (ejectedReason).
+// Reason: the entry places a rejected task on another worker at once. A task that was sent to a worker that does not
+// answer can run elsewhere only after its lease has expired.
 
-// The reasons for which new tasks are rejected.
+// Reasons for rejecting new tasks.
 const (
 	reasonShuttingDown       = "the agent is shutting down"
 	reasonNoWorker           = "the worker is down"
@@ -36,14 +36,14 @@
 )
 
 const (
-	// unhealthyBackoff is how long a worker gets no tasks after it rejected a call as unhealthy.
+	// unhealthyBackoff is how long the worker gets no tasks after it rejected a call as unhealthy.
 	unhealthyBackoff = 400 * time.Millisecond
-	// fullBackoff is how long no task is started after the worker rejected one for lack of resources although it fits by the runner's own
-	// count: the time to the next listing.
+	// fullBackoff is how long no task is started after the worker rejected one for lack of resources although the runner's own count had
+	// room for it. It is the time until the next listing.
 	fullBackoff = timing.RenewInterval
 )
 
-// refusalReason returns why the worker gets no new tasks, or "" if it accepts them.
+// refusalReason returns why new tasks are rejected, or "" if they are accepted.
 func (r *Runner) refusalReason(now time.Time) string {
 	switch {
 	case r.shuttingDown:
@@ -71,7 +71,7 @@
 	}
 }
 
-// startRefusalReason returns why the start of a task of a session is rejected, or "" if the task is queued.
+// startRefusalReason returns why a task of a session is rejected, or "" if it is queued.
 func (r *Runner) startRefusalReason(now time.Time, id SessionID, t Task) string {
 	if reason := r.refusalReason(now); reason != "" {
 		return reason
@@ -89,22 +89,24 @@
 }
 
 const (
-	// minLoadInterval is the shortest time between two loads on a session.
+	// minLoadInterval is the shortest time between two load messages on a session.
 	minLoadInterval = 20 * time.Millisecond
-	// loadShare is the part of the interval between loads that each session adds; see loadInterval. It bounds what an agent sends to
-	// entries that have nothing here to 125 loads a second, however many they are.
+	// loadShare is how much each session adds to the interval between load messages; see loadInterval. It limits an agent to 125 load
+	// messages a second to entries without tasks or reservations here, regardless of the number of entries.
 	loadShare = 8 * time.Millisecond
 )
 
-// loadInterval returns the shortest time between two loads on a session.
+// loadInterval returns the shortest time between two load messages on a session.
 //
-// Inputs: whether tasks or reservations of the session changed since the last load, the number of sessions.
+// Inputs: whether tasks or reservations of the session changed since the last load message, the number of sessions.
 //
-// Rule: minLoadInterval after a change of its own. For changes by other entries loadShare for each session, at least
-// minLoadInterval and at most the interval of pings, with which the load then goes.
+// Rule: minLoadInterval after a change of the session's own tasks or reservations. After changes by other entries,
+// loadShare times the number of sessions, at least minLoadInterval and at most the ping interval: the load is then sent
+// together with a ping.
 //
-// Reason: each entry gets the loads of all its agents, so their pace decides what an entry has to read, and the number of
-// sessions what an agent has to write. An entry with tasks here frees its own count of them by the next load.
+// Reason: an entry receives the loads of all its agents, so the interval determines how much each entry has to read, and
+// the number of sessions how much an agent has to write. An entry with tasks here releases its own count of them with
+// the next load message.
 func (r *Runner) loadInterval(s *session) time.Duration {
 	if s.ownLoadDue {
 		return minLoadInterval
@@ -112,15 +114,15 @@
 	return max(minLoadInterval, min(r.limits.Ping, time.Duration(len(r.sessions))*loadShare))
 }
 
-// markLoadDue makes the runner send the load to every entry, at the end of the current event or when loadInterval has
-// passed.
+// markLoadDue marks the load as due for every session. It is sent at the end of the current event or when loadInterval
+// has passed.
 func (r *Runner) markLoadDue() {
 	for _, s := range r.sessions {
 		s.loadDue = true
 	}
 }
 
-// sendLoads sends the load to the entries for which it is due.
+// sendLoads sends the load on the sessions for which it is due.
 func (r *Runner) sendLoads(now time.Time) {
 	for _, s := range r.sessionsInOrder() {
 		if s.loadDue && now.Sub(s.loadSent) >= r.loadInterval(s) {
@@ -132,7 +134,7 @@
 	}
 }
 
-// currentLoad returns the load that entries use for placement. It counts queued tasks and offers as used resources.
+// currentLoad returns the load that entries use for placement. Queued tasks and offers count as used resources.
 func (r *Runner) currentLoad(now time.Time) Load {
 	load := Load{
 		KnowsAllEnds: r.hasHeard(now), ShuttingDown: r.shuttingDown,
--- a/internal/runner/effect.go
+++ b/internal/runner/effect.go
@@ -14,7 +14,7 @@
 // Effect is an action that Runner.Handle asks its caller to carry out. It is one of the types declared below.
 type Effect interface{ isEffect() }
 
-// CallStart starts a run on the worker. The call must not be sent after Before, the end of the session's lease.
+// CallStart starts a run on the worker. Before is the end of the session's lease: the call must not be sent later.
 type CallStart struct {
 	Incarnation worker.Incarnation
 	Start       worker.StartRequest
@@ -27,13 +27,13 @@
 	Stop        worker.StopRequest
 }
 
-// CallRenew extends the leases of the runs on the worker and asks for a listing.
+// CallRenew extends the leases of the runs on the worker and requests a listing.
 type CallRenew struct {
 	Incarnation worker.Incarnation
 	Renew       worker.RenewRequest
 }
 
-// SendPing sends a ping with its time to an entry.
+// SendPing sends a ping to an entry, which echoes Time.
 type SendPing struct {
 	Session SessionID
 	Time    time.Time
@@ -45,7 +45,7 @@
 	Record  worker.Record
 }
 
-// SendLoad sends the load to an entry. It includes the starts of the session up to the number Handled.
+// SendLoad sends the load to an entry. Handled is the number of the latest start of the session that the load includes.
 type SendLoad struct {
 	Session SessionID
 	Handled uint64
@@ -64,7 +64,7 @@
 	Offer   Offer
 }
 
-// SendCrash reports the crash of an incarnation of the worker to an entry. It comes before the outcomes of the runs.
+// SendCrash reports the crash of an incarnation of the worker to an entry. It precedes the outcomes of the runs.
 type SendCrash struct {
 	Session SessionID
 	Crash   Crash
@@ -76,7 +76,7 @@
 	Reason  string
 }
 
-// EndDropped reports an end that no owner has acknowledged and that is not resent any more, so its task may run again. It is
+// EndDropped reports that an end which no owner has acknowledged is no longer resent, so its task may run again. It is
 // for the log.
 type EndDropped struct {
 	Name    string
@@ -89,23 +89,24 @@
 type IncarnationEnded struct {
 	Incarnation worker.Incarnation
 	Reason      string
-	// IsCrash is set if it ended without having said so.
+	// IsCrash is set if the worker ended without signing off.
 	IsCrash bool
-	// Evidence is what is known of when it ended.
+	// Evidence is what is known about the time of the end.
 	Evidence EndEvidence
-	// Runs are those that may have been on the worker, in the order of their tasks' names.
+	// Runs are the runs that may have been on the worker, ordered by task name.
 	Runs []EndedRun
 }
 
-// EndEvidence is what an agent knows of the end of an incarnation, for the log.
+// EndEvidence is what an agent knows about the end of an incarnation, for the log.
 type EndEvidence struct {
-	// SinceClosed is how long before the end was noticed the worker closed the first connection, zero if it closed none.
+	// SinceClosed is the time from the first connection that the worker closed until the end was detected, zero if it closed none.
 	SinceClosed time.Duration
-	// HadLongPoll is set if it closed a long poll that had waited there.
+	// HadLongPoll is set if the worker closed a long poll that was waiting there.
 	HadLongPoll bool
-	// PollTook is how long the long poll had been under way that it closed, zero if it closed none.
+	// PollTook is how long the long poll that the worker closed had been pending, zero if it closed none.
 	PollTook time.Duration
-	// RoundTrip is how long the latest renewal took that was answered at once, and AnsweredFor how long before the end was noticed it was sent.
+	// RoundTrip is the duration of the latest renewal that was answered without waiting, and SinceAnswered the time from the sending of
+	// the latest answered call until the end was detected.
 	RoundTrip     time.Duration
 	SinceAnswered time.Duration
 }
@@ -113,40 +114,43 @@
 // EndedRun is a run that ended with the worker's incarnation.
 type EndedRun struct {
 	RunID
-	// Age is the time from when the start was sent until the end of the incarnation was first noticed. The run itself is younger.
+	// Age is the time from when the start was sent until the end of the incarnation was first detected. The run itself is younger.
 	Age time.Duration
-	// HasStarted is set if the worker had confirmed the run, IsStopping if it was being stopped, and WasRunning if it was running for certain.
+	// HasStarted is set if the worker had confirmed the run, IsStopping if it was being stopped, and WasRunning if it was certainly running.
 	HasStarted, IsStopping, WasRunning bool
 }
 
-// EvacuationChanged reports that the worker's availability zone was evacuated or taken back. It is for the log and metrics.
+// EvacuationChanged reports that the worker's availability zone was evacuated or that its evacuation was revoked. It is
+// for the log and metrics.
 type EvacuationChanged struct {
 	Zone        string
 	IsEvacuated bool
-	// Runs is how many tasks may be on the worker.
+	// Runs is the number of tasks that may be running on the worker.
 	Runs int
 }
 
-// WorkerEjected reports that the worker gets no tasks but probes. It is for the log and metrics.
+// WorkerEjected reports that the worker was ejected: from now on it gets only probes, and tasks that ignore the
+// ejection. It is for the log and metrics.
 type WorkerEjected struct {
 	Reason ejection.Reason
-	// FailureRate is that of the load.
+	// FailureRate is the same value as in Load.
 	FailureRate float64
-	// Kinds are those of the runs that failed before.
+	// Kinds are the kinds of the runs that failed before the ejection.
 	Kinds []string
 }
 
-// ProbeEnded reports how a probe went. It is for the log and metrics.
+// ProbeEnded reports the result of a probe. It is for the log and metrics.
 type ProbeEnded struct {
 	RunID
 	Kind   string
 	IsDone bool
 }
 
-// WorkerRestored reports that the worker is in service again, some time after it was ejected. It is for the log and metrics.
+// WorkerRestored reports that the ejection has ended; After is how long it lasted. It is for the log and metrics.
 type WorkerRestored struct{ After time.Duration }
 
-// SharesDivided reports how the worker is divided while several competitors wait for it, once in a while. It is for the log and metrics.
+// SharesDivided reports the shares of the worker while several competitors wait for it, at most once per sharesInterval. It is for the log
+// and metrics.
 type SharesDivided struct{ Shares []shares.Share }
 
 func (CallStart) isEffect()         {}
@@ -169,44 +173,44 @@
 
 // Load is the state of the worker that entries use for placement.
 type Load struct {
-	// Used is what the queued and running tasks need, and what is offered.
+	// Used are the resources of the queued and active tasks and of the pending offers.
 	Used worker.Resources
-	// HasReservations is set while reservations wait that would use what is free or becomes free next; see hasReservations.
+	// HasReservations is set while reservations wait that would use the resources that are free or become free next; see hasReservations.
 	HasReservations bool
 	// Accepts is false while new tasks are rejected; see refusalReason. It is false while IsEjected is set.
 	Accepts bool
-	// KnowsAllEnds is set while the agent has heard of all runs that have ended on the worker; see hasHeard.
+	// KnowsAllEnds is set while the agent knows the ends of all runs that have ended on the worker; see hasHeard.
 	KnowsAllEnds bool
 	// ShuttingDown is set while the agent shuts down.
 	ShuttingDown bool
-	// Slowness is the factor by which tasks here take longer than usual on this worker: 1 on a healthy one.
+	// Slowness is the factor by which tasks currently take longer than is normal for this worker: 1 on a healthy worker.
 	Slowness float64
-	// TimeFactor is the factor by which tasks take longer on this worker than entries expect, for good. Zero is unknown.
+	// TimeFactor is the factor by which tasks permanently take longer on this worker than entries expect. Zero means unknown.
 	TimeFactor float64
-	// FailureRate is the share of recent runs that failed, from 0 to 1.
+	// FailureRate is the fraction of recent runs that failed, from 0 to 1.
 	FailureRate float64
-	// IsEjected is set while the worker is ejected (ejection.go) and nothing else keeps it from accepting tasks.
+	// IsEjected is set while the worker is ejected (ejection.go) and there is no other reason to reject tasks.
 	IsEjected bool
-	// Headroom is what tasks leave free for shorter ones, in the order of LongerThan.
+	// Headroom are the resources that longer tasks leave free for shorter ones, ordered by LongerThan.
 	Headroom []shares.Bound
 }
 
 // Outcome is the state of a run as reported to an entry.
 type Outcome int
 
-// The outcomes of a run. Their values are those on the wire.
+// The outcomes of a run. The values are also used on the wire.
 const (
 	OutcomeStarted Outcome = iota + 1
-	// OutcomeNotStarted guarantees that no run of the task began here.
+	// OutcomeNotStarted guarantees that no run of the task has started on this worker.
 	OutcomeNotStarted
 	OutcomeDone
 	OutcomeFailed
 	OutcomeStopped
-	// OutcomeLost means that the run ended with the worker's incarnation or with its lease; its result is unknown.
+	// OutcomeLost means that the run ended with the worker's incarnation or when its lease expired; its result is unknown.
 	OutcomeLost
 )
 
-// IsEnd reports whether the outcome is final: the run has ended or never began.
+// IsEnd reports whether the outcome is final: the run has ended or never started.
 func (o Outcome) IsEnd() bool {
 	return o != OutcomeStarted
 }
@@ -225,9 +229,9 @@
 	Name    string
 	Run     uint32
 	Outcome Outcome
-	// Reason explains the outcome, for logs and callers. Empty for OutcomeStarted, OutcomeDone and resent ends.
+	// Reason explains the outcome, for logs and callers. It is empty for OutcomeStarted, OutcomeDone and resent ends.
 	Reason string
-	// Checkpoint is where the run stopped, or empty.
+	// Checkpoint is the position from which a later run can continue, or empty.
 	Checkpoint string
 	// Unacknowledged is set if the end is resent to all entries because no owner has acknowledged it yet.
 	Unacknowledged bool
