--- a/internal/runner/event.go
+++ b/internal/runner/event.go
@@ -10,43 +10,43 @@
 	"sailhead/internal/worker"
 )
 
-// SessionID identifies a session of an entry within one process of the agent. IDs grow with each session.
+// SessionID identifies a session of an entry within one process of the agent. Later sessions have higher IDs.
 type SessionID uint64
 
 // Task is a task that an entry sends to the agent to run.
 type Task struct {
 	// Name is JOB.0.STEP.INDEX and unique among all jobs.
 	Name string
-	// Run is the lowest run number to use. Each further start of the task uses a higher one.
+	// Run is the lowest run number to use. Each further start of the task uses a higher number.
 	Run     uint32
 	Payload string
 	Needs   worker.Resources
 	// Checkpoint is where an earlier run stopped, or empty to start from the beginning.
 	Checkpoint string
-	// MaxWait is how long the task may wait in the queue. Zero rejects it unless it can start at once.
+	// MaxWait is how long the task may wait in the queue. If it is zero, the task is rejected unless it can start at once.
 	MaxWait time.Duration
 	// Expected is the usual run time of the task, or zero if unknown.
 	Expected time.Duration
-	// Urgency decides which of several tasks starts first.
+	// Urgency determines the order in which tasks start.
 	Urgency Urgency
 	// Offer is the offer whose resources the task uses, zero for none.
 	Offer OfferID
-	// IsSuspect is set if a worker has crashed under the task before; see suspect.go.
+	// IsSuspect is set if a worker has crashed while running the task; see suspect.go.
 	IsSuspect bool
 	// Kind is the kind of the job.
 	Kind string
-	// Estimate is the estimated run time of the task, also if it rests on the caller's guess alone.
+	// Estimate is the estimated run time of the task, even if it is based only on the caller's estimate.
 	Estimate time.Duration
-	// Weight is that of the kind in the shares of the worker, zero for 1.
+	// Weight is the weight of the kind in the shares of the worker. Zero means 1.
 	Weight float64
-	// IgnoresEjection is set if the task is started although the worker is ejected.
+	// IgnoresEjection is set if the task is to be started even if the worker is ejected.
 	IgnoresEjection bool
-	// KindFailureRate is the share of the runs of the kind, 0 to 1, that fail or take far longer than expected on other workers. Those that are
-	// ejected count only if there are few others.
+	// KindFailureRate is the fraction of the runs of the kind, from 0 to 1, that fail or take far longer than expected on other workers.
+	// Ejected workers count only if there are few others.
 	KindFailureRate float64
 	// IsContained is set if the kind of the job is contained; see containment.go.
 	IsContained bool
-	// IsDurable is set for a task of a durable job: the worker remembers its end until an owner acknowledged it.
+	// IsDurable is set for a task of a durable job: the worker keeps the end of its run until an owner has acknowledged it.
 	IsDurable bool
 }
 
@@ -57,39 +57,39 @@
 type SessionOpened struct {
 	Session SessionID
 	Entry   string
-	// Zone is the availability zone of the entry, empty if it is not known.
+	// Zone is the availability zone of the entry, empty if unknown.
 	Zone string
 }
 
 // SessionClosed reports that the connection of a session has ended.
 type SessionClosed struct{ Session SessionID }
 
-// PongReceived reports that an entry echoed a ping. Sent is when the agent sent that ping.
+// PongReceived reports that an entry echoed a ping. Sent is when the agent sent the ping.
 type PongReceived struct {
 	Session SessionID
 	Sent    time.Time
 }
 
-// StartRequested is a request of an entry to run a task. Number counts the starts of the session from one.
+// StartRequested is an entry's request to run a task. Number is the sequence number of the request in the session, from one.
 type StartRequested struct {
 	Session SessionID
 	Number  uint64
 	Task    Task
 }
 
-// StopRequested is a request of an entry to stop a task, whether it is queued or running.
+// StopRequested is an entry's request to stop a queued or running task.
 type StopRequested struct {
 	Session SessionID
 	Name    string
 }
 
-// ReservationRequested asks for resources, or cancels an earlier request.
+// ReservationRequested adds, replaces or cancels a reservation.
 type ReservationRequested struct {
 	Session     SessionID
 	Reservation Reservation
 }
 
-// OfferAnswered reports that an entry has sent all starts that use an offer.
+// OfferAnswered reports that an entry has sent all starts that use an offer, so the unused part of it is free again.
 type OfferAnswered struct {
 	Session SessionID
 	Offer   OfferID
@@ -104,16 +104,17 @@
 // HeartbeatReceived reports a heartbeat of the worker.
 type HeartbeatReceived struct{ Record worker.Record }
 
-// StoredWorkerLoaded carries the worker that an earlier process of the agent stored. It may have restarted since.
+// StoredWorkerLoaded carries the worker's record that an earlier process of the agent stored. The worker may have
+// restarted since then.
 type StoredWorkerLoaded struct{ Record worker.Record }
 
 // WorkerLeft reports that the worker has signed off.
 type WorkerLeft struct {
-	// Incarnation has no start if the worker did not tell it.
+	// Incarnation has no start time if the worker did not report one.
 	Incarnation worker.Incarnation
 }
 
-// StartAnswered is the result of a CallStart, which was made at Sent and ended at Ended. Both are before the event is handled.
+// StartAnswered is the result of a CallStart that was sent at Sent and ended at Ended. Both times are before the event is handled.
 type StartAnswered struct {
 	Incarnation worker.Incarnation
 	Name        string
@@ -131,8 +132,9 @@
 	Result      worker.StopResult
 }
 
-// RenewAnswered is the result of a CallRenew that was sent at Sent with the fencing token Fence. LongPoll is set if the
-// call waited for an end. Took is how long the call itself took, without the time until it was made, and Ended when it was over.
+// RenewAnswered is the result of a CallRenew with the fencing token Fence that was emitted at Sent. LongPoll is set if
+// the call waited for the end of a run. Took is the duration of the call itself, without the delay before it was made,
+// and Ended the time at which it ended.
 type RenewAnswered struct {
 	Incarnation worker.Incarnation
 	Sent        time.Time
@@ -143,13 +145,13 @@
 	Result      worker.RenewResult
 }
 
-// EvacuationsReceived reports what an entry knows of the evacuated availability zones.
+// EvacuationsReceived carries an entry's knowledge of the evacuated availability zones.
 type EvacuationsReceived struct{ State evacuation.State }
 
-// ShutdownRequested starts the shutdown: queued and new tasks are rejected, active ones continue.
+// ShutdownRequested starts the shutdown: queued and new tasks are rejected, active tasks continue.
 type ShutdownRequested struct{}
 
-// Ticked is sent at regular intervals. Everything that depends on time is checked then.
+// Ticked is sent every TickInterval. Time-outs and periodic actions are checked then.
 type Ticked struct{}
 
 func (SessionOpened) isEvent()        {}
--- a/internal/runner/queue.go
+++ b/internal/runner/queue.go
@@ -10,26 +10,25 @@
 
 // Queueing
 //
-// Inputs: the tasks' needs, urgency and MaxWait, the free resources of the worker, the reservations, what is kept for shorter tasks
-// (headroom.go).
-// Rule: tasks start in the order of their urgency, then of their arrival. One that does not fit is passed over by
-// smaller ones behind it, and one without an offer leaves the resources to a reservation that comes before it (shares.go)
-// and room to shorter tasks. A task is rejected
-// after MaxWait, or at once if MaxWait is zero; one that waits for the end of an earlier run of itself is never rejected
-// at once.
+// Inputs: the tasks' needs, urgency and MaxWait, the free resources of the worker, the reservations, the headroom for
+// shorter tasks (headroom.go).
+// Rule: tasks start in the order of their urgency, then of their arrival. Smaller tasks overtake one that does not fit.
+// A task without an offer leaves the free resources to a reservation that precedes it (shares.go), and the headroom to
+// shorter tasks. A task is rejected after MaxWait, or at once if MaxWait is zero. A task that waits for the end of an
+// earlier run of itself is never rejected at once.
 // Reason: the entry places a rejected task on another worker, which is faster than waiting for this one.
 //
 // Superseding
 //
 // Inputs: a start of a task that another session has queued or running here.
-// Rule: the older task is stopped, the newer one waits for its end and runs with a higher run number. If another one waits
-// already, that one is reported as not started.
+// Rule: the older task is stopped; the newer one waits for its end and runs with a higher run number. If another start
+// already waits for that end, it is reported as not started.
 // Reason: the job has a new owner, or its entry a new session, and two runs of a task must not overlap.
 
-// supersedeTimeout is the least time that a task may wait for the end of the run that it supersedes: a stop and some retries of it fit.
+// supersedeTimeout is the least time that a task may wait for the end of the run that it supersedes: enough for a stop and some retries.
 const supersedeTimeout = 500 * time.Millisecond
 
-// handleStart queues a task, or reports why it is not started.
+// handleStart queues a task, or reports it as not started with the reason.
 func (r *Runner) handleStart(now time.Time, e StartRequested) {
 	s, ok := r.sessions[e.Session]
 	if !ok {
@@ -60,7 +59,7 @@
 	r.enqueue(t)
 }
 
-// supersede stops a task of another session and makes t wait for its end.
+// supersede stops the earlier task, which belongs to another session, and makes t wait for its end.
 func (r *Runner) supersede(now time.Time, earlier, t *task) {
 	t.isRequeued = true
 	t.MaxWait = max(t.MaxWait, supersedeTimeout)
@@ -70,7 +69,7 @@
 	r.stop(now, earlier)
 }
 
-// rejectSuperseding reports the task that waits for the end of another one, if there is one, as not started.
+// rejectSuperseding reports the task that waits to supersede t, if there is one, as not started.
 func (r *Runner) rejectSuperseding(t *task, reason string) {
 	waiting := t.supersededBy
 	if waiting == nil {
@@ -85,7 +84,7 @@
 	r.queue = append(r.queue, t)
 }
 
-// requeue puts an active task without a run at the front of the queue.
+// requeue puts an active task that has no run back at the front of the queue.
 func (r *Runner) requeue(t *task) {
 	t.state = stateQueued
 	t.isRequeued = true
@@ -94,7 +93,7 @@
 	r.markLoadDue()
 }
 
-// requeueWithNewRun queues a task again whose run has ended without a result.
+// requeueWithNewRun requeues a task whose run never started or ended without a result, under the next run number.
 func (r *Runner) requeueWithNewRun(t *task) {
 	t.Run++
 	r.requeue(t)
@@ -106,7 +105,7 @@
 	}
 }
 
-// startQueued starts the queued tasks that fit and rejects those that must not wait.
+// startQueued starts the queued tasks for which there are resources and rejects the others that must not wait.
 func (r *Runner) startQueued(now time.Time) {
 	if len(r.queue) > 0 && r.refusalReason(now) == "" && !now.Before(r.worker.fullUntil) {
 		r.startFitting(now)
@@ -135,7 +134,7 @@
 	r.rejectQueued("no resources in time", func(t *task) bool { return now.Sub(t.arrived) > t.MaxWait })
 }
 
-// rejectQueued removes the queued tasks for which matches returns true and reports them as not started.
+// rejectQueued removes the queued tasks that match and reports them as not started.
 func (r *Runner) rejectQueued(reason string, matches func(*task) bool) {
 	for _, t := range slices.Clone(r.queue) {
 		if matches(t) {
