--- a/internal/runner/renew.go
+++ b/internal/runner/renew.go
@@ -12,24 +12,24 @@
 
 // Renewals
 //
-// Inputs: whether runs are active, whether a run waits for a listing or is a probe, whether ends are unacknowledged.
-// Rule: nextRenewInterval after the previous one a renewal is sent whose answer does not wait. While runs are active, a
-// long poll beside it brings their ends as soon as they happen, unless unacknowledged ends are listed: then it would be
-// answered at once.
-// Reason: the short renewals extend the leases on time and show whether the worker responds; the long poll saves the
-// entry the wait for the next one.
+// Inputs: whether tasks are active, whether a run waits for a listing or is a probe, whether ends are unacknowledged.
+// Rule: a renewal that the worker answers without waiting is sent every nextRenewInterval. While tasks are active, a
+// long poll runs in parallel and returns as soon as a run ends. There is no long poll while unacknowledged ends are
+// listed, as the worker would answer it at once.
+// Reason: the short renewals extend the leases in time and show whether the worker responds. With the long poll, the
+// entry learns of an end without waiting for the next short renewal.
 
 const (
-	// idleRenewInterval is the time between two renewals while no run is active. They only show whether the worker responds: after a lost
-	// answer another one is sent timing.RenewInterval later, within timing.WorkerUnresponsiveAfter.
+	// idleRenewInterval is the time between two renewals while no task is active. These only show whether the worker responds: if an answer
+	// is lost, the next renewal is sent timing.RenewInterval later, within timing.WorkerUnresponsiveAfter.
 	idleRenewInterval = 200 * time.Millisecond
-	// longPollTimeout is how long a long poll waits for an end on the worker.
+	// longPollTimeout is how long the worker holds a long poll if no run ends.
 	longPollTimeout = 500 * time.Millisecond
-	// longPollBackoff is the pause after a long poll that brought no listing.
+	// longPollBackoff is the pause after a long poll that returned no listing.
 	longPollBackoff = timing.RenewInterval
 )
 
-// renew sends the renewal and the long poll if they are due.
+// renew sends a renewal and a long poll if they are due.
 func (r *Runner) renew(now time.Time) {
 	if now.Sub(r.worker.lastRenewSent) >= r.nextRenewInterval(now) {
 		r.requestListing(now)
@@ -37,7 +37,8 @@
 	r.pollIfDue(now)
 }
 
-// pollIfDue sends the long poll if it is due: with the start of the first run, so that the worker tells of its end from then on.
+// pollIfDue sends a long poll if it is due. It is also called after each event, so that a long poll is pending as soon as the first run
+// starts and returns even if that run ends early.
 func (r *Runner) pollIfDue(now time.Time) {
 	if r.worker != nil && r.isLongPollDue(now) {
 		r.worker.longPolling = true
@@ -45,7 +46,7 @@
 	}
 }
 
-// nextRenewInterval returns the time between two renewals that do not wait.
+// nextRenewInterval returns the time between two renewals that are answered without waiting.
 func (r *Runner) nextRenewInterval(now time.Time) time.Duration {
 	switch {
 	case r.worker.isUnresponsive(now):
@@ -66,7 +67,7 @@
 	return !w.longPolling && r.hasActive() && !now.Before(w.longPollAfter) && len(w.unacknowledged) == 0
 }
 
-// awaitsListing reports whether a listing decides on a run.
+// awaitsListing reports whether the state of a run depends on the next listing.
 func (r *Runner) awaitsListing() bool {
 	for _, t := range r.tasks {
 		if t.awaitsListing() || t.state == stateStopping && !t.stop.awaitsAnswer() {
@@ -81,7 +82,7 @@
 	return false
 }
 
-// requestListing sends a renewal that is answered at once.
+// requestListing sends a renewal that the worker answers without waiting.
 func (r *Runner) requestListing(now time.Time) {
 	r.worker.lastRenewSent = now
 	if r.worker.askedAt.IsZero() {
@@ -90,8 +91,8 @@
 	r.sendRenew(now, 0)
 }
 
-// sendRenew sends a renewal. An unresponsive worker gets no new lease: it may still carry out the calls that it does not
-// answer, and without a lease its runs end in time for expireLease.
+// sendRenew sends a renewal. It requests no lease from an unresponsive worker, which may still carry out calls that it
+// does not answer: its runs must have ended when expireLease reports them as lost.
 func (r *Runner) sendRenew(now time.Time, wait time.Duration) {
 	request := worker.RenewRequest{Fence: r.fence, AcknowledgedEnd: r.worker.acknowledgedUpTo(now), Wait: wait}
 	if !r.worker.isUnresponsive(now) {
@@ -142,8 +143,8 @@
 	}
 }
 
-// handleUnansweredRenewal notes what a renewal without an answer tells of the worker. If the worker closed the connection, it is asked at
-// once whether it is still there: sooner than with the next renewal, entries then run the tasks elsewhere.
+// handleUnansweredRenewal handles a renewal without an answer. If the worker closed the connection, a listing is requested at once to find
+// out whether the worker still runs: if it does not, entries can run its tasks elsewhere sooner than after the next regular renewal.
 func (r *Runner) handleUnansweredRenewal(now time.Time, e RenewAnswered, result worker.Unanswered) {
 	if !result.IsClosed {
 		return
@@ -155,7 +156,7 @@
 	}
 }
 
-// markResponsive applies that the worker has answered a renewal that was sent at sent.
+// markResponsive records that the worker has answered a renewal that was sent at sent.
 func (r *Runner) markResponsive(now, sent time.Time) {
 	wasUnresponsive := r.worker.isUnresponsive(now)
 	r.worker.noteAlive(sent)
@@ -168,7 +169,7 @@
 	}
 }
 
-// recordAnswer notes that a renewal was answered that was sent at a time. One that was sent later is still to be answered.
+// recordAnswer updates askedAt after the answer to a renewal that was sent at sent. Renewals that were sent later are still unanswered.
 func (i *incarnation) recordAnswer(sent time.Time) {
 	switch {
 	case sent.Before(i.askedAt):
--- a/internal/runner/reservation.go
+++ b/internal/runner/reservation.go
@@ -15,36 +15,37 @@
 // Reservations and offers
 //
 // Inputs: the reservations of all entries, the free resources of the worker, the answers of entries to offers.
-// Rule: an entry whose job finds no free resources reserves them at several agents. As resources become free, the agent
-// offers them to the reservation that comes first of those that fit (shares.go, Urgency.Compare), whichever entry it is from. The
-// entry answers with starts that use the offer, of this job or of another of the kind, and what it does not use is free again. A
-// task that was sent without an offer is rejected while a reservation waits that comes before it.
-// Reason: one order over all entries, in place of a race in which the entry that asks fastest is served. Tasks are bound to
-// a worker only when it has room, as nobody knows which one has it next. An offer costs a round trip to the entry, about
-// 1 ms in which the resources are not used.
+// Rule: an entry that finds no free resources for a job reserves them at several agents. When resources become free,
+// the agent offers them to the first reservation that fits, over all entries (shares.go, Urgency.Compare). The entry
+// answers with starts that use the offer, of the same job or another job of the kind; the unused part of the offer is
+// free again. A task that was sent without an offer is rejected while a reservation waits that precedes it.
+// Reason: reservations are served in one order over all entries; without them the entry that asks most often would be
+// served first. A task is assigned to a worker only when the worker has room, as it is not known which worker has room
+// next. An offer costs a round trip to the entry, about 1 ms in which the resources are idle.
 
 const (
-	// minOfferTimeout is the least time for which offered resources are kept for an entry that does not answer, and maxOfferTimeout the
-	// longest one. After that its reservations are passed over until it sends something.
+	// minOfferTimeout and maxOfferTimeout bound the time for which offered resources are kept for an entry that does not answer. After that
+	// the reservations of the session are skipped until the entry sends something.
 	minOfferTimeout = 20 * time.Millisecond
 	maxOfferTimeout = 100 * time.Millisecond
-	// offerRoundTrips is how many round trips of its session an entry has for the answer. An offer that ends before its answer comes is worse
-	// than none: the start that uses it is rejected.
+	// offerRoundTrips is the number of round trips of its session that an entry has to answer an offer. An offer that expires before its
+	// answer arrives is worse than none: the start that uses it is rejected.
 	offerRoundTrips = 2
-	// maxReservations bounds the reservations of one session.
+	// maxReservations is the largest number of reservations of one session.
 	maxReservations = 1024
 )
 
-// Reservation asks for resources for tasks of one job.
+// Reservation is a request for resources for the tasks of one job.
 type Reservation struct {
-	// Job is the ID of the job. A later reservation of the same session for it replaces an earlier one.
+	// Job is the ID of the job. A later reservation of the same session for the job replaces an earlier one.
 	Job string
 	// Needs are the resources of one task.
 	Needs worker.Resources
 	// Count is the number of tasks. Zero cancels the reservation.
 	Count   int
 	Urgency Urgency
-	// Kind is the kind of the job, Estimate the estimated run time of a task, and Weight that of the kind in the shares of the worker, zero for 1.
+	// Kind is the kind of the job, Estimate the estimated run time of a task, and Weight the weight of the kind in the shares of the worker,
+	// where zero means 1.
 	Kind     string
 	Estimate time.Duration
 	Weight   float64
@@ -53,18 +54,18 @@
 // OfferID identifies an offer within one process of the agent. Zero is none.
 type OfferID uint64
 
-// Offer offers resources to an entry until it is answered.
+// Offer offers resources to an entry. They are kept for the entry until it answers or the offer expires.
 type Offer struct {
 	ID OfferID
-	// Job is the job whose reservation led to the offer.
+	// Job is the job whose reservation the offer serves.
 	Job string
-	// Resources are what is offered.
+	// Resources are the offered resources.
 	Resources worker.Resources
-	// Left is how many tasks the reservation still counts. At zero it is gone.
+	// Left is the number of tasks that remain in the reservation. If it is zero, the reservation has been removed.
 	Left int
-	// Kind is that of the reservation. Only jobs of the kind use the offer; any job may if it is empty.
+	// Kind is the kind of the reservation. Only jobs of this kind may use the offer. If it is empty, any job may.
 	Kind string
-	// IsProbe is set if the offer is for one task that shows whether the worker is well again. No reservation leads to it.
+	// IsProbe is set if the offer is for one task that shows whether an ejected worker has recovered. Such an offer serves no reservation.
 	IsProbe bool
 }
 
@@ -75,15 +76,15 @@
 	competitor shares.Competitor
 }
 
-// offer is an offer that was not answered yet.
+// offer is an offer without an answer.
 type offer struct {
 	session SessionID
 	// unused are the offered resources that no start has used.
 	unused worker.Resources
-	// reservation is the one that led to the offer as it was then, nil for a probe.
+	// reservation is a copy of the reservation that the offer serves, made with the offer, or nil for a probe.
 	reservation *reservation
 	expires     time.Time
-	// isProbe is set for a probe, which keeps no resources.
+	// isProbe is set for a probe, which holds no resources.
 	isProbe bool
 }
 
@@ -134,8 +135,8 @@
 	r.markLoadDue()
 }
 
-// dropAllReservations removes all reservations and offers, when the worker's incarnation has ended or the agent shuts down.
-// Entries reserve again when they learn of the next incarnation.
+// dropAllReservations removes all reservations and offers, for example when the worker's incarnation has ended or the
+// agent shuts down. Entries reserve again when they learn of the next incarnation.
 func (r *Runner) dropAllReservations() {
 	r.reservations = nil
 	for _, id := range r.offersInOrder() {
@@ -144,11 +145,11 @@
 	r.markLoadDue()
 }
 
-// offersInOrder returns the offers in the order in which they were made. What is charged for them is a sum of fractions, which is the same each
-// time only in one order.
+// offersInOrder returns the IDs of the offers in the order in which they were made. The charges for offers are summed as floating-point
+// numbers, so the sum is reproducible only in a fixed order.
 func (r *Runner) offersInOrder() []OfferID { return slices.Sorted(maps.Keys(r.offers)) }
 
-// offerFreeResources offers the free resources to the reservations in their order.
+// offerFreeResources offers the free resources to the reservations in their order of precedence.
 func (r *Runner) offerFreeResources(now time.Time) {
 	if len(r.reservations) == 0 || r.isEjected() || r.refusalReason(now) != "" || now.Before(r.worker.fullUntil) {
 		return
@@ -162,7 +163,8 @@
 	}
 }
 
-// nextReservation returns the reservation that comes first of those of which a task fits into what is free for it, or nil.
+// nextReservation returns the first reservation, in order of precedence, with a task that fits into the resources that are free for it, or
+// nil.
 func (r *Runner) nextReservation(now time.Time) *reservation {
 	var best *reservation
 	var first precedence
@@ -172,7 +174,7 @@
 			continue
 		}
 		if best != nil && first.isBelowShare && other.Urgency.Compare(first.urgency, now) >= 0 {
-			// It does not come first whatever its share is.
+			// It cannot precede the best one, whatever its share is; this saves computing its precedence.
 			continue
 		}
 		if c := r.precedenceOf(now, other.competitor, other.Urgency); best == nil || c.compare(first, now) < 0 {
@@ -182,7 +184,7 @@
 	return best
 }
 
-// mayOffer reports whether a session is valid and has answered the earlier offers.
+// mayOffer reports whether a session is valid and its entry has not left an offer unanswered since it last sent something.
 func (r *Runner) mayOffer(now time.Time, id SessionID) bool {
 	return r.isSessionValid(now, id) && !r.sessions[id].missedOffer
 }
@@ -204,7 +206,7 @@
 	r.emit(SendOffer{Session: best.session, Offer: r.newOffer(best, resources)})
 }
 
-// newOffer returns the latest offer as its entry is told. It names the kind unless any job may use it.
+// newOffer returns the latest offer in the form in which it is sent to the entry.
 func (r *Runner) newOffer(best *reservation, resources worker.Resources) Offer {
 	o := Offer{ID: r.lastOffer, Job: best.Job, Resources: resources, Left: best.Count}
 	if !r.limits.NoShares {
@@ -218,7 +220,7 @@
 	return min(max(offerRoundTrips*s.roundTrip, minOfferTimeout), maxOfferTimeout)
 }
 
-// answerOffer releases what the starts of a session have not used of an offer.
+// answerOffer releases the part of an offer that the starts of the session have not used.
 func (r *Runner) answerOffer(now time.Time, e OfferAnswered) {
 	if s, ok := r.sessions[e.Session]; ok {
 		s.missedOffer = false
@@ -229,7 +231,7 @@
 	}
 }
 
-// endOffer releases what is unused of an offer.
+// endOffer removes an offer and releases the unused part of it.
 func (r *Runner) endOffer(id OfferID) {
 	o := r.offers[id]
 	r.offered = r.offered.Minus(o.unused)
@@ -248,8 +250,8 @@
 	}
 }
 
-// useOffer takes the resources of a task from the offer that it was sent for. It does nothing if the offer has ended or has
-// too little left: the task is then treated like one without an offer.
+// useOffer takes the resources of a task from the offer that it was sent for. If the offer has ended or has too little
+// left, it does nothing, and the task is treated like one without an offer.
 func (r *Runner) useOffer(t *task) {
 	o, ok := r.offers[t.Offer]
 	if !ok || o.session != t.session || !t.Needs.Fits(o.unused) {
@@ -261,7 +263,8 @@
 	t.hasOffer = true
 }
 
-// mustYield reports whether a task without an offer has to leave the free resources to a reservation that comes before it.
+// mustYield reports whether a task has to leave the free resources to a reservation that precedes it. A task with an offer, a repeated
+// start and a probe never have to.
 func (r *Runner) mustYield(now time.Time, t *task) bool {
 	if t.hasOffer || t.isRequeued || t.isProbe {
 		return false
@@ -270,8 +273,8 @@
 	return best != nil && r.precedenceOf(now, best.competitor, best.Urgency).compare(r.precedenceOf(now, t.competitor, t.Urgency), now) < 0
 }
 
-// free returns the resources of the worker that are neither used nor offered. Parts of it are negative after the worker has
-// reduced its capacity.
+// free returns the resources of the worker that are neither used nor offered. Its components can be negative after the
+// worker has reduced its capacity.
 func (r *Runner) free() worker.Resources {
 	return r.worker.record.Capacity.Minus(r.worker.unavailable()).Minus(r.offered)
 }
