--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -15,23 +15,23 @@
 type Limits struct {
 	// Session is how long the tasks of an entry may run after the agent sent the last ping that the entry echoed.
 	Session time.Duration
-	// Ping is the time between two pings on a session with tasks, and IdlePing that on one without.
+	// Ping is the interval between pings on a session with tasks, and IdlePing the interval on a session without tasks.
 	Ping     time.Duration
 	IdlePing time.Duration
-	// Lease is the length of the leases that the worker is asked for.
+	// Lease is the length of the leases that are requested from the worker.
 	Lease time.Duration
 	// Stop is the longest time between the worker's answer to a stop and the end of the run, on the worker's clock.
 	Stop time.Duration
 	// Queue is the largest number of queued tasks.
 	Queue int
-	// NoEjection is set if a worker on which too many runs fail is not ejected; see ejection.go.
+	// NoEjection disables the ejection of a worker on which too many runs fail; see ejection.go.
 	NoEjection bool
-	// NoShares is set if what is free is offered by urgency alone; see shares.go.
+	// NoShares disables shares: free resources are offered by urgency alone; see shares.go.
 	NoShares bool
 }
 
-// defaultQueueLimit is the largest number of queued tasks: tasks wait in the queue for a repeated start only, so more of them than run on any
-// worker is a fault of the entries.
+// defaultQueueLimit is the default of Limits.Queue. Tasks wait in the queue only for a repeated start, so more queued tasks than any worker
+// can run are a fault of the entries.
 const defaultQueueLimit = 512
 
 // DefaultLimits returns the limits for a worker that grants leases of up to maxLease and stops runs within stopTime.
@@ -55,55 +55,56 @@
 	worker *incarnation
 	// candidate is the record of an incarnation that may have replaced the current one; see candidate.go.
 	candidate *worker.Record
-	// endedIncarnations are the latest incarnations that have ended, the oldest first.
+	// endedIncarnations are the latest incarnations that have ended, oldest first.
 	endedIncarnations []worker.Incarnation
-	// crashes are the latest crashes of the worker, the oldest first.
+	// crashes are the latest crashes of the worker, oldest first.
 	crashes []crashReport
-	// earlierEnds are the unacknowledged ends of ended incarnations, the oldest first.
+	// earlierEnds are the unacknowledged ends of ended incarnations, oldest first.
 	earlierEnds []*unacknowledgedEnd
-	// unsettled are tasks of ended incarnations that are not reported as lost yet, the oldest first.
+	// unsettled are tasks of ended incarnations that are not reported as lost yet, oldest first.
 	unsettled []unsettledTask
 	sessions  map[SessionID]*session
 	// orderedSessions are the same sessions in the order in which they were opened.
 	orderedSessions []*session
-	// tasks are the queued and active tasks by name, without those that wait in supersededBy.
+	// tasks are the queued and active tasks by name, without the tasks that wait in supersededBy.
 	tasks map[string]*task
 	// queue are the tasks in stateQueued.
 	queue []*task
-	// reservations are those of all sessions that wait for resources, offers those that were not answered, by their IDs.
+	// reservations are the waiting reservations of all sessions, and offers the offers without an answer.
 	reservations []*reservation
 	offers       map[OfferID]*offer
-	// offered is the sum of what is unused of the offers.
+	// offered is the sum of the unused resources of the offers.
 	offered   worker.Resources
 	lastOffer OfferID
 	lastStart uint64
 	// hadWorker is set once this process has known an incarnation of the worker.
 	hadWorker bool
-	// lastHeard is what hasHeard was when the load was last marked as due for it.
+	// lastHeard is the value of hasHeard when the load was last marked as due because of it.
 	lastHeard bool
 	// lastTick is when the latest tick was handled.
 	lastTick     time.Time
 	lateness     lateness
 	shuttingDown bool
-	// evacuations is what the entries have told of the evacuated availability zones, and isEvacuated whether the worker's is one.
+	// evacuations is the state of the evacuated availability zones, merged from all entries. isEvacuated is set if the worker's zone is
+	// evacuated.
 	evacuations evacuation.State
 	isEvacuated bool
 	ejection    ejectionState
 	health      health
-	// toldHealth is what health was when the load was last due to its change.
+	// toldHealth is the value of health when the load was last marked as due because of it.
 	toldHealth health
 	speed      speed
-	// toldTimeFactor is what the time factor was when the load was last due to its change.
+	// toldTimeFactor is the value of the time factor when the load was last marked as due because of it.
 	toldTimeFactor float64
-	// now is when the event that is being handled happened, for what is called without a time.
+	// now is the time of the event that is being handled, for methods without a parameter for it.
 	now     time.Time
 	sharing sharing
 	// effects collects the effects of the event that is being handled.
 	effects []Effect
 }
 
-// New returns a runner without a worker. The fencing token must be higher than those of earlier processes of the agent;
-// if it is not, the runner raises it when the worker rejects a call.
+// New returns a runner without a worker. The fencing token must be higher than those of earlier processes of the agent.
+// If it is not, the runner raises it when the worker rejects a call.
 func New(limits Limits, fence uint64) *Runner {
 	return &Runner{
 		limits:   limits,
@@ -169,7 +170,7 @@
 	}
 }
 
-// tick runs the checks that depend on time. Their order matters: sessions end and queued tasks expire also while no
+// tick runs the checks that depend on time. Their order matters: sessions end and queued tasks expire even while no
 // worker is known, and the lease is checked after the renewal.
 func (r *Runner) tick(now time.Time) {
 	r.noteTick(now)
@@ -208,7 +209,7 @@
 	return len(r.tasks) == 0
 }
 
-// Worker returns the latest record of the worker; ok is false while none is known that describes the current incarnation.
+// Worker returns the latest record of the worker. ok is false while there is no record that describes the current incarnation.
 func (r *Runner) Worker() (record worker.Record, ok bool) {
 	if r.worker == nil || !r.worker.isDescribed {
 		return worker.Record{}, false
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// session is a session with an entry. The agent pings the entry on it; each echo extends the session's lease, and the
-// tasks of the entry run while that lease is valid. The times are those of package timing.
+// session is a session with an entry. The agent sends pings to the entry; each echo extends the session's lease, and the
+// tasks of the entry run while the lease is valid. Package timing explains the durations.
 type session struct {
 	id       SessionID
 	entry    string
@@ -18,26 +18,26 @@
 	lastPing time.Time
 	// validUntil is the end of the session's lease.
 	validUntil time.Time
-	// roundTrip is how long the latest ping and its echo took.
+	// roundTrip is the round-trip time of the latest echoed ping.
 	roundTrip time.Duration
-	// lastHandledStart is the number of the session's latest start that the load counts.
+	// lastHandledStart is the number of the session's latest start that the load includes.
 	lastHandledStart uint64
-	// loadDue is set while the load has changed since it was last sent, and ownLoadDue while that concerns tasks or
-	// reservations of this session.
+	// loadDue is set if the load has changed since it was last sent, and ownLoadDue if tasks or reservations of this session
+	// have changed.
 	loadDue    bool
 	ownLoadDue bool
 	loadSent   time.Time
-	// missedOffer is set while the entry has not answered an offer in time and has sent nothing since.
+	// missedOffer is set if the entry has not answered an offer in time and has sent nothing since.
 	missedOffer bool
 	// lastStart is when the entry last sent a start, and probeUnusedAt when it last left a probe unused; see probe.go.
 	lastStart     time.Time
 	probeUnusedAt time.Time
-	// probeOfferedAt is when it was last offered a probe.
+	// probeOfferedAt is when a probe was last offered to the entry.
 	probeOfferedAt time.Time
 }
 
-// openSession adds a session. It ends an earlier session of the same entry, whose tasks are stopped: the entry has lost
-// the connection or is a new process.
+// openSession adds a session. An earlier session of the same entry ends and its tasks are stopped, as the entry has lost
+// the connection or has restarted.
 func (r *Runner) openSession(now time.Time, e SessionOpened) {
 	for _, other := range r.sessionsInOrder() {
 		if other.entry == e.Entry {
@@ -55,13 +55,13 @@
 	r.ping(now, s)
 }
 
-// sessionsInOrder returns the sessions in the order in which they were opened. The result stays as it is when sessions open
-// or end.
+// sessionsInOrder returns the sessions in the order in which they were opened. The returned slice does not change when
+// sessions open or end, so callers may end sessions while they iterate over it.
 func (r *Runner) sessionsInOrder() []*session {
 	return r.orderedSessions
 }
 
-// sortSessions makes the slice of sessionsInOrder anew, after a session was added or removed.
+// sortSessions rebuilds orderedSessions in a new slice, after a session was added or removed.
 func (r *Runner) sortSessions() {
 	r.orderedSessions = make([]*session, 0, len(r.sessions))
 	for _, id := range slices.Sorted(maps.Keys(r.sessions)) {
@@ -83,8 +83,8 @@
 	r.closeSession(now, id)
 }
 
-// handlePong extends the lease of a session. It counts from when the ping was sent, not from the echo: the entry's
-// count of RerunDelay begins no earlier than its echo.
+// handlePong extends the lease of a session. The lease is counted from the sending of the ping, not from the arrival of
+// the echo: the entry starts to count timing.RerunDelay no earlier than it sends the echo.
 func (r *Runner) handlePong(now time.Time, e PongReceived) {
 	s, ok := r.sessions[e.Session]
 	if !ok {
@@ -96,8 +96,8 @@
 	}
 }
 
-// tickSessions pings the entries and ends the sessions whose leases have expired. docs/OPERATIONS.md and package timeline
-// quote the reason.
+// tickSessions sends the pings that are due and ends the sessions whose leases have expired. docs/OPERATIONS.md and package
+// timeline quote the reason.
 func (r *Runner) tickSessions(now time.Time) {
 	for _, s := range r.sessionsInOrder() {
 		switch {
@@ -119,7 +119,7 @@
 	return false
 }
 
-// ping sends a ping, and with it the load if that has changed: both go in one packet.
+// ping sends a ping, and with it the load if that has changed, so that both are sent in one packet.
 func (r *Runner) ping(now time.Time, s *session) {
 	s.lastPing = now
 	s.ownLoadDue = true
@@ -132,7 +132,7 @@
 	return ok && !now.After(s.validUntil)
 }
 
-// announceWorker sends the worker's record, and with it the load, to every entry.
+// announceWorker sends the worker's record and the load to every entry.
 func (r *Runner) announceWorker() {
 	for _, s := range r.sessionsInOrder() {
 		r.emit(SendWorker{Session: s.id, Record: r.worker.record})
