--- a/internal/runner/reservation.go
+++ b/internal/runner/reservation.go
@@ -177,8 +177,8 @@
 			// It cannot precede the best one, whatever its share is; this saves computing its precedence.
 			continue
 		}
-		if c := r.precedenceOf(now, other.competitor, other.Urgency); best == nil || c.compare(first, now) < 0 {
-			best, first = other, c
+		if p := r.precedenceOf(now, other.competitor, other.Urgency); best == nil || p.compare(first, now) < 0 {
+			best, first = other, p
 		}
 	}
 	return best
--- a/internal/runner/shares.go
+++ b/internal/runner/shares.go
@@ -14,23 +14,23 @@
 
 // Shares
 //
-// Inputs: the kind of each reservation and task, the availability zone of its entry, what each of these competitors was given here, the weights
-// of the kinds (package shares).
-// Rule: what is free goes first to competitors that were given less than their share. Among them, and among the others, urgency decides. An
+// Inputs: the kind of each reservation and task, the availability zone of its entry, the usage of each such competitor on this worker, the
+// weights of the kinds (package shares).
+// Rule: competitors that were given no more than their share get free resources first. Among them, and among the others, urgency decides. An
 // offer names the kind whose jobs may use it.
-// Reason: by urgency alone a burst of one kind or availability zone takes the room of all others, as its jobs that have begun go before those
-// that have not. The agent is the only place that sees what all entries use of its worker.
+// Reason: by urgency alone, a burst of one kind or availability zone would take the resources of all others, as its jobs that have started
+// precede the jobs that have not. Only the agent sees how much of its worker all entries use.
 
-// sharing is what the runner knows of who uses the worker. It outlives the worker's incarnations.
+// sharing records how the competitors use the worker. It is kept when the worker's incarnation changes.
 type sharing struct {
 	accounts *shares.Accounts
 	kinds    *shares.Kinds
-	// bounds is what tasks leave free for shorter ones, unless it is due to be computed again.
+	// bounds are the resources that longer tasks leave free for shorter ones. If areBoundsDue is set, they must be computed again before use.
 	bounds       []shares.Bound
 	areBoundsDue bool
-	// scarceUntil is until when tasks leave room for shorter ones.
+	// scarceUntil is the time until which longer tasks leave resources free for shorter ones.
 	scarceUntil time.Time
-	// lastEmitted is when SharesDivided was emitted last.
+	// lastEmitted is when SharesDivided was last emitted.
 	lastEmitted time.Time
 }
 
@@ -38,48 +38,48 @@
 	return sharing{accounts: shares.NewAccounts(), kinds: shares.NewKinds()}
 }
 
-// scarceTime is how long after several competitors waited for the worker tasks leave room for shorter ones.
+// scarceTime is how long longer tasks leave resources free for shorter ones after several competitors have waited for the worker.
 const scarceTime = time.Second
 
-// sharesInterval is the shortest time between two SharesDivided.
+// sharesInterval is the shortest time between two SharesDivided effects.
 const sharesInterval = time.Second
 
-// competitor returns as whom jobs of a kind compete that come through the entry of a session.
+// competitor returns the competitor to which jobs of a kind belong that arrive on the session.
 func (s *session) competitor(kind string) shares.Competitor {
 	return shares.Competitor{Zone: s.zone, Kind: kind}
 }
 
-// precedence is what decides who comes first for free resources.
+// precedence determines the order in which reservations and tasks get free resources.
 type precedence struct {
-	// isBelowShare is set if the competitor was given its share or less.
+	// isBelowShare is set if the competitor was given no more than its share.
 	isBelowShare bool
 	urgency      Urgency
 }
 
-// precedenceOf returns the claim of a reservation or a task.
+// precedenceOf returns the precedence of a reservation or a task of a competitor.
 func (r *Runner) precedenceOf(now time.Time, c shares.Competitor, u Urgency) precedence {
 	return precedence{isBelowShare: !r.limits.NoShares && r.sharing.accounts.IsBelow(now, c), urgency: u}
 }
 
-// compare returns the order of two claims at a time: negative if c comes first.
-func (c precedence) compare(other precedence, now time.Time) int {
-	return cmp.Or(trueFirst(c.isBelowShare, other.isBelowShare), c.urgency.Compare(other.urgency, now))
+// compare returns a negative number if p precedes other at the given time, and a positive one if other precedes p.
+func (p precedence) compare(other precedence, now time.Time) int {
+	return cmp.Or(trueFirst(p.isBelowShare, other.isBelowShare), p.urgency.Compare(other.urgency, now))
 }
 
-// recordArrival notes a task or a reservation that asks for room.
+// recordArrival records the arrival of a task or a reservation, from which the headroom for its kind is computed.
 func (r *Runner) recordArrival(now time.Time, kind string, needs worker.Resources, estimate time.Duration, urgency Urgency) {
 	if !r.limits.NoShares {
 		r.sharing.kinds.Arrived(now, kind, needs.CPU, estimate, urgency.StartBy.Sub(now))
 	}
 }
 
-// chargeStart charges the competitor of a task that is started for its estimated time.
+// chargeStart charges the estimated work of a task that is started to its competitor.
 func (r *Runner) chargeStart(now time.Time, t *task) {
 	t.charged = shares.NewWork(t.Needs.CPU, t.Estimate)
 	r.chargeTask(now, t, t.charged)
 }
 
-// settleCharge replaces what was charged for the run of a task by what it took until now.
+// settleCharge replaces the charge for the run of a task by the work that it has used so far.
 func (r *Runner) settleCharge(now time.Time, t *task) {
 	took := shares.NewWork(t.Needs.CPU, now.Sub(t.began))
 	r.chargeTask(now, t, took-t.charged)
@@ -93,15 +93,15 @@
 	}
 }
 
-// chargeOffer charges the competitor of a reservation for resources that are offered, times the factor: -1 takes it back. A probe, which no
-// reservation led to, is charged to nobody.
+// chargeOffer charges offered resources, multiplied by factor, to the competitor of a reservation. A factor of -1 reverses an earlier
+// charge. The offer of a probe has no reservation and is not charged.
 func (r *Runner) chargeOffer(now time.Time, offered *reservation, resources worker.Resources, factor shares.Work) {
 	if !r.limits.NoShares && offered != nil {
 		r.sharing.accounts.Charge(now, offered.competitor, offered.Weight, factor*shares.NewWork(resources.CPU, offered.Estimate))
 	}
 }
 
-// divide divides the worker between its competitors.
+// divide updates the shares of the worker's competitors.
 func (r *Runner) divide(now time.Time) {
 	if r.limits.NoShares {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-// waitingCompetitors returns the competitors of the reservations.
+// waitingCompetitors returns the distinct competitors of the reservations.
 func (r *Runner) waitingCompetitors() []shares.Competitor {
 	var waiting []shares.Competitor
 	for _, each := range r.reservations {
@@ -129,7 +129,7 @@
 	return waiting
 }
 
-// cores returns the CPU of resources in cores.
+// cores returns the CPU of the resources in cores.
 func cores(resources worker.Resources) float64 {
 	const milliCores = 1000
 	return float64(resources.CPU) / milliCores
--- a/internal/runner/urgency.go
+++ b/internal/runner/urgency.go
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// Urgency decides which of several tasks starts first. Entries order their jobs by it, and agents the tasks of all entries.
+// Urgency determines the order in which tasks start. Entries order their jobs by it, and agents order the tasks of all
+// entries.
 type Urgency struct {
-	// HasStarted is set if another task of the job was sent to an agent before.
+	// HasStarted is set if another task of the job has already been sent to an agent.
 	HasStarted bool
-	// Priority is that of the job's kind, 0 for the most urgent ones.
+	// Priority is the priority of the job's kind; 0 is the most urgent.
 	Priority int
-	// StartBy is the latest start with which the job can be done within its objective.
+	// StartBy is the latest start time at which the job can still complete within its objective.
 	StartBy time.Time
 }
 
-// Compare returns the order of two tasks at a time: negative if u starts first.
+// Compare compares the urgency of two tasks at the given time. It returns a negative number if u starts first.
 //
-// Inputs: whether the job has begun, whether StartBy is over, the priority of the kind (0 is the most urgent), StartBy.
+// Inputs: whether the job has started, whether StartBy has passed, the priority of the kind (0 is the most urgent), StartBy.
 //
-// Rule: tasks of jobs that have begun, then those that can still be in time, then by priority, then by StartBy.
+// Rule: first tasks of jobs that have started, then tasks that can still complete in time, then by priority, then by
+// StartBy.
 //
-// Reason: the runs of a begun job are lost work unless the rest of the job is done. A job that will be late anyway must not
-// make others late.
+// Reason: the runs of a started job are wasted unless the rest of the job completes. A job that will be late anyway must
+// not make others late.
 func (u Urgency) Compare(other Urgency, now time.Time) int {
 	return cmp.Or(
 		trueFirst(u.HasStarted, other.HasStarted),
@@ -35,12 +37,12 @@
 	)
 }
 
-// isOverdue reports whether the job can no longer be done within its objective.
+// isOverdue reports whether the job can no longer complete within its objective.
 func (u Urgency) isOverdue(now time.Time) bool {
 	return now.After(u.StartBy)
 }
 
-// trueFirst returns the order of two booleans with true first.
+// trueFirst compares two booleans; true sorts before false.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
