--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -11,27 +11,27 @@
 
 // Starts and their answers
 //
-// Inputs: the worker's answer to a start, or none within the time-out of the call.
-// Rule: an accepted start is reported as started. A start that the worker rejected for a reason that a second attempt can
-// mend (run number, fencing token, expired lease) is queued again. A start that the worker cannot carry out is reported as
-// not started, so that the entry places the task elsewhere. A start without an answer may have begun a run and may even
-// begin one later: the runner requests a listing with a higher fencing token, which makes the worker reject the start from
-// then on. If the run is neither listed nor has ended, it never began, and the task is queued again at once. Other starts
-// under way are rejected for their token too, and sent again.
+// Inputs: the worker's answer to a start call, or none within the time-out of the call.
+// Rule: an accepted start is reported as started. If the worker rejected the start for a reason that another attempt can
+// resolve (run number, fencing token, expired lease), the task is queued again. If the worker cannot carry out the start,
+// the task is reported as not started, so that the entry places it elsewhere. A start without an answer may have started
+// a run, or may do so later: the runner requests a listing with a higher fencing token, which makes the worker reject the
+// start from then on. If the run is neither listed nor has ended, it never started, and the task is queued again at once.
+// Other pending starts are also rejected for their lower token, and are sent again.
 // Reason: two runs of a task must not overlap, and a task of 60 ms cannot wait for the 50 ms that a stop may take.
 
 const (
 	// fenceStep is added to the fencing token when the worker has seen a higher one. Tokens are milliseconds of the
-	// agent's clock at its start, so one step covers a clock that was set back by twelve days.
+	// agent's clock when the process started, so one step covers a clock that was set back by up to twelve days.
 	fenceStep = 1 << 30
 	// checkStep is added to the fencing token to fence a start without an answer.
 	checkStep = 1
-	// runNumberStep is added to a run number that the worker has already seen end or stop: the agent does not know how far the worker has come. A
-	// task rarely has as many runs, and another step follows if it has.
+	// runNumberStep is added to a run number that the worker has already seen end or stop. The agent does not know the highest number that
+	// the worker has seen; a task rarely has more than 16 runs, and if the worker rejects the start again, another step follows.
 	runNumberStep = 16
 )
 
-// start sends the start of a queued task to the worker.
+// start sends the start call for a queued task to the worker.
 func (r *Runner) start(now time.Time, t *task) {
 	t.state = stateStarting
 	t.isRequeued = false
@@ -60,7 +60,7 @@
 func (r *Runner) handleStartAnswer(now time.Time, e StartAnswered) {
 	t, ok := r.currentRun(e.Incarnation, e.Name, e.Run)
 	if !ok || t.state != stateStarting {
-		// The run has ended or is being stopped, which holds whatever the start did.
+		// The run has ended or is being stopped. The result of the start call does not change that.
 		r.handleWorkerState(now, e.Incarnation, e.Sent, e.Result)
 		return
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// recordAccepted notes that a process of the worker's ID has accepted a start: the incarnation, unless it may start again under its ID and
-// the clock in the answer is not its own.
+// recordAccepted records that a worker process has accepted a start. If the worker may restart under the same ID, the answer counts for the
+// current incarnation only if it carries that incarnation's clock.
 func (r *Runner) recordAccepted(t *task, e StartAnswered, result worker.Accepted) {
 	w := r.worker
 	w.readClock(result.Clock, result.Received)
@@ -111,25 +111,25 @@
 	}
 }
 
-// markStarted reports that a run has begun. heard is when the agent got the answer that says so, and confirmed when the worker gave it, on
-// its clock.
-func (r *Runner) markStarted(heard time.Time, t *task, confirmed time.Duration) {
+// markStarted reports that a run has started. received is when the agent received the answer that confirms it, and confirmed when the worker
+// sent that answer, on the worker's clock.
+func (r *Runner) markStarted(received time.Time, t *task, confirmed time.Duration) {
 	t.state = stateRunning
 	t.hasBegun = true
-	t.confirmedAt = heard
+	t.confirmedAt = received
 	t.acceptedAt = confirmed
 	t.mayHaveRun = true
 	r.sendUpdate(t.session, Update{Name: t.Name, Run: t.Run, Outcome: OutcomeStarted})
 }
 
-// checkStart requests a listing to find out whether a start without an answer began a run, and fences the start.
+// checkStart fences a start without an answer and requests a listing, which shows whether the start has started a run.
 func (r *Runner) checkStart(now time.Time, t *task) {
 	t.state = stateChecking
 	r.raiseFence(t.fence, checkStep)
 	r.requestListing(now)
 }
 
-// resolveStart decides on a start without an answer by a listing that fenced it.
+// resolveStart resolves a start without an answer by a listing that was requested with a higher fencing token.
 func (r *Runner) resolveStart(now time.Time, t *task, listing worker.Listing, isListed bool) {
 	if isListed {
 		r.markStarted(now, t, listing.Clock)
@@ -139,7 +139,7 @@
 	r.requeueWithNewRun(t)
 }
 
-// raiseFence raises the fencing token above that of a call, unless it was raised since the call was sent.
+// raiseFence raises the fencing token by step above sent, the token of a call, unless it was raised since that call was sent.
 func (r *Runner) raiseFence(sent, step uint64) {
 	if r.fence <= sent {
 		r.fence = sent + step
--- a/internal/runner/stop.go
+++ b/internal/runner/stop.go
@@ -12,19 +12,19 @@
 	"sailhead/internal/worker"
 )
 
-// Stops and their retry
+// Stops and their retries
 //
-// Inputs: the worker's answer to a stop, and its listings.
-// Rule: a stop is repeated until the worker accepts it, while the worker responds. A stopped run has ended when the worker lists its end, or when a
-// listing lacks it that was requested later than the answer plus Limits.Stop plus the drift of the worker's clock.
-// Reason: an unresponsive worker does not carry out stops, and would have to work off all of them before it answers anything new;
-// without a lease its runs end by themselves. A run may continue for Limits.Stop after the answer, and the worker need not list it during that time.
+// Inputs: the worker's answer to a stop call, and its listings.
+// Rule: a stop is repeated until the worker accepts it, as long as the worker responds. A stopped run has ended when the worker lists its
+// end, or when it is missing in a listing that was requested later than the answer plus Limits.Stop plus the drift of the worker's clock.
+// Reason: an unresponsive worker does not carry out stops, and would have to process all of them before it answers anything new; its runs
+// end when their leases expire. After the answer a run may continue for Limits.Stop, and the worker need not list it during that time.
 
 const (
-	// stopRetryInterval is the time between two stops of the same run: longer than the call's time-out of 25 ms.
+	// stopRetryInterval is the time between two stop calls for the same run: longer than the call's time-out of 25 ms.
 	stopRetryInterval = 40 * time.Millisecond
-	// minRetryInterval is the shortest time between two calls of which the first was not answered. Without it a worker
-	// that closes each connection at once is called in a loop: 7,294 long polls failed in 5 s.
+	// minRetryInterval is the shortest time between an unanswered call and the next one. Without it, a worker that closes
+	// each connection at once would be called in a loop: 7,294 long polls failed in 5 s.
 	minRetryInterval = 20 * time.Millisecond
 )
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// stop ends a task in any state. It does not run again.
+// stop ends a task in any state. The task does not run again.
 func (r *Runner) stop(now time.Time, t *task) {
 	switch t.state {
 	case stateQueued:
@@ -61,21 +61,21 @@
 	}
 }
 
-// beginStop stops the run of an active task.
+// beginStop starts to stop the run of an active task.
 func (r *Runner) beginStop(now time.Time, t *task) {
 	t.state = stateStopping
 	t.stop = r.newStop(now, t.Name, t.Run)
 }
 
-// stop is the stop of a run on the worker.
+// stop is a stop of a run that was sent to the worker.
 type stop struct {
 	// name is the name of the task.
 	name string
 	run  uint32
-	// lastSent is when it was last sent, and fence the fencing token that it carried.
+	// lastSent is when the stop was last sent, and fence the fencing token of that call.
 	lastSent time.Time
 	fence    uint64
-	// answered is when the worker accepted it. Zero until then.
+	// answered is when the answer arrived with which the worker accepted the stop, zero before that.
 	answered time.Time
 }
 
@@ -84,13 +84,13 @@
 	return s.answered.IsZero()
 }
 
-// isOver reports whether a listing that was requested at a time shows that the run has ended, by not containing it. bound
-// is how long a run may continue after its stop was accepted.
+// isOver reports whether a run has ended if a listing that was requested at the given time does not contain it. bound is
+// how long a run may continue after its stop was accepted.
 func (s *stop) isOver(requested time.Time, bound time.Duration) bool {
 	return !s.awaitsAnswer() && requested.After(s.answered.Add(bound))
 }
 
-// newStop sends the first stop of a run.
+// newStop sends the first stop call for a run.
 func (r *Runner) newStop(now time.Time, name string, run uint32) *stop {
 	s := &stop{name: name, run: run}
 	r.callStop(now, s)
@@ -106,7 +106,7 @@
 	})
 }
 
-// stops returns the stops under way, of tasks and of orphans, each in the order of their names.
+// stops returns the pending stops of tasks, then those of orphans, each in the order of their names.
 func (r *Runner) stops() []*stop {
 	var stops []*stop
 	for _, t := range r.active() {
@@ -120,7 +120,7 @@
 	return stops
 }
 
-// retryStops repeats the stops that have not been accepted for stopRetryInterval.
+// retryStops repeats the stops that were sent at least stopRetryInterval ago and have not been accepted.
 func (r *Runner) retryStops(now time.Time) {
 	if r.worker.isUnresponsive(now) {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// stopOf returns the stop that an answer is about, or nil if the run has ended or the answer comes from another
+// stopOf returns the stop to which an answer belongs, or nil if the run has ended or the answer comes from another
 // incarnation.
 func (r *Runner) stopOf(e StopAnswered) *stop {
 	if !r.isCurrent(e.Incarnation) {
@@ -169,8 +169,8 @@
 	}
 }
 
-// retryStop repeats a stop whose call failed. If the call failed at once, or the worker is unresponsive, the next tick
-// repeats it instead.
+// retryStop repeats a stop whose call failed. If the call failed within minRetryInterval or the worker is unresponsive, it
+// is left to retryStops.
 func (r *Runner) retryStop(now time.Time, s *stop) {
 	failedAtOnce := now.Sub(s.lastSent) < minRetryInterval
 	if s.awaitsAnswer() && !failedAtOnce && !r.worker.isUnresponsive(now) {
@@ -178,19 +178,20 @@
 	}
 }
 
-// stopBound returns how long a run may continue after the worker accepted its stop, on this process's clock.
+// stopBound returns the longest time on this process's clock for which a run may continue after the worker accepted its
+// stop.
 func (r *Runner) stopBound() time.Duration {
 	return withDrift(r.limits.Stop)
 }
 
-// withDrift returns the longest time on this process's clock that a time on the worker's clock may take.
+// withDrift returns the longest time that may pass on this process's clock while d passes on the worker's clock.
 func withDrift(d time.Duration) time.Duration {
 	return d + d/timing.ClockDriftDivisor
 }
 
 const (
-	// reasonStopped is the reason of OutcomeStopped if the agent stopped the run.
+	// reasonStopped is the reason for OutcomeStopped if the agent stopped the run.
 	reasonStopped = "the run was stopped"
-	// reasonStoppedBeforeStart is the reason of OutcomeNotStarted if the entry stopped a task that had no run.
+	// reasonStoppedBeforeStart is the reason for OutcomeNotStarted if a task without a run was stopped.
 	reasonStoppedBeforeStart = "the task was stopped before its start"
 )
