--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -118,7 +118,7 @@
 	t.hasBegun = true
 	t.confirmedAt = received
 	t.acceptedAt = confirmed
-	t.mayHaveRun = true
+	t.hadRun = true
 	r.sendUpdate(t.session, Update{Name: t.Name, Run: t.Run, Outcome: OutcomeStarted})
 }
 
