--- a/internal/runner/random_test.go
+++ b/internal/runner/random_test.go
@@ -17,62 +17,65 @@
 	"sailhead/internal/worker"
 )
 
-// schedule runs a runner with a fake worker and two entries on virtual time, at random. Calls and answers are lost, delayed
-// and reordered, the worker restarts, entries become unresponsive, and the agent freezes and restarts.
+// schedule simulates a runner with a fake worker and two entries in virtual time, with random events. Calls and answers
+// are lost, delayed and reordered, the worker restarts, entries become unresponsive, and the agent freezes and restarts.
 type schedule struct {
-	t      *testing.T
-	random *rand.Rand
-	seed   uint64
-	now    time.Time
-	queue  actions
-	serial int
-	runner *Runner
-	worker *fakeWorker
+	t          *testing.T
+	random     *rand.Rand
+	seed       uint64
+	now        time.Time
+	queue      actions
+	lastSerial int
+	runner     *Runner
+	worker     *fakeWorker
 	// epoch counts the processes of the agent; answers to earlier ones are dropped.
 	epoch    int
 	entries  map[SessionID]*fakeEntry
 	sessions SessionID
-	// frozen is until when the agent handles no events; inbox holds those that arrive meanwhile.
-	frozen time.Time
-	inbox  []Event
-	// faults is the share of calls that are lost or late.
-	faults float64
-	limits Limits
-	// incarnations counts those of the worker.
+	// frozenUntil is the time until which the agent handles no events; inbox holds the events that arrive before.
+	frozenUntil time.Time
+	inbox       []Event
+	// callFaultRate is the fraction of calls that are lost or late.
+	callFaultRate float64
+	limits        Limits
+	// incarnations is the number of incarnations of the worker.
 	incarnations int
-	// isUnguarded is set if the workers accept starts that do not fit. Then the runner must not send any.
+	// isUnguarded is set if the workers accept starts that exceed their capacity. The runner must not send such starts.
 	isUnguarded bool
-	// resizing draws the changes of the workers' capacity; nil for none. It is a source of its own, so that the schedule of a seed
-	// is the same without them.
-	resizing *rand.Rand
-	// restarting draws whether a restarted worker keeps its ID; nil for workers that never do and do not tell their start.
-	restarting *rand.Rand
-	// late draws how late answers to renewals come that were not there in time; nil if these are lost.
+	// resizeRandom is the random source for changes of the worker's capacity, or nil for none. It is a separate source, so
+	// that the rest of the schedule of a seed does not depend on these changes.
+	resizeRandom *rand.Rand
+	// restartRandom is the random source for whether a restarted worker keeps its ID, or nil for workers that never keep it
+	// and do not report their start time.
+	restartRandom *rand.Rand
+	// late is the random source for the delay of late answers to renewals, or nil if these answers are lost.
 	late *rand.Rand
-	// evacuating draws the operators' changes of the worker's availability zone and the way of their news; nil for none.
-	evacuating *rand.Rand
-	// history are all changes in order, and told what the present process of the agent has been told of.
-	history []evacuation.Change
-	told    evacuation.State
-	// ejecting draws what becomes of probes, while the worker fails most runs at times; nil for a worker that fails few. ejections counts its
-	// ejections, probes those that were used and restored how often it was in service again.
+	// evacuationRandom is the random source for evacuations of the worker's availability zone and for the messages about
+	// them, or nil for none.
+	evacuationRandom *rand.Rand
+	// evacuationChanges are all changes in order, and told is the state that the current process of the agent has received.
+	evacuationChanges []evacuation.Change
+	told              evacuation.State
+	// ejecting is the random source for the answers to probes. The worker then fails most runs at times; if it is nil, the
+	// worker always fails few. ejections is the number of ejections, probes the number of probes that were used, and
+	// restored the number of ejections that have ended.
 	ejecting                    *rand.Rand
 	ejections, probes, restored int
-	// connections are those to the worker, if long polls wait there; nil if they are answered at once.
+	// connections are the connections to the worker if long polls wait there, or nil if they are answered at once.
 	connections *connections
-	// starts counts the starts sent to the worker.
+	// starts is the number of starts sent to the worker.
 	starts int
 	tasks  int
 	fence  uint64
 }
 
-// fakeEntry is an entry's end of a session.
+// fakeEntry is an entry's side of a session.
 type fakeEntry struct {
 	name   string
 	number uint64
-	// unresponsive is set if the entry answers no more pings.
+	// unresponsive is set if the entry no longer answers pings.
 	unresponsive bool
-	// open are the tasks without an outcome, and outcomes those with one.
+	// open are the tasks without an outcome, and outcomes the outcomes of the others.
 	open     map[string]bool
 	outcomes map[string]Outcome
 	// reserved holds the tasks that wait for an offer, by the job of their reservation.
@@ -104,29 +107,29 @@
 
 const taskCPU = 1000
 
-// testSlack is how long tasks may wait.
+// testSlack is the time from the request of a task until its StartBy.
 const testSlack = 100 * time.Millisecond
 
-// testKinds are the kinds of jobs with the estimated times of their tasks, zero for one of which entries tell nothing.
+// testKinds are the kinds of jobs with the estimated run times of their tasks. In the last one both are unknown.
 var testKinds = []struct {
 	name     string
 	estimate time.Duration
 }{{"short", 30 * time.Millisecond}, {"long", 700 * time.Millisecond}, {"", 0}}
 
-// ofKind returns a task or a reservation's kind and estimate by the name of the job.
-func ofKind(job string) (kind string, estimate time.Duration) {
+// kindOf returns the kind and the estimate for the name of a job or a task.
+func kindOf(job string) (kind string, estimate time.Duration) {
 	k := testKinds[len(job)%len(testKinds)]
 	return k.name, k.estimate
 }
 
-func newSchedule(t *testing.T, seed uint64, faults float64, isUnguarded bool) *schedule {
+func newSchedule(t *testing.T, seed uint64, callFaultRate float64, isUnguarded bool) *schedule {
 	s := &schedule{
-		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_000_000, 0), faults: faults,
+		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_000_000, 0), callFaultRate: callFaultRate,
 		entries: make(map[SessionID]*fakeEntry), limits: DefaultLimits(time.Second, 50*time.Millisecond), fence: 10,
 		isUnguarded: isUnguarded,
 	}
 	if seed%4 != 3 {
-		s.restarting = rand.New(rand.NewPCG(seed, 5))
+		s.restartRandom = rand.New(rand.NewPCG(seed, 5))
 	}
 	if seed%4 >= 2 {
 		s.late = rand.New(rand.NewPCG(seed, 7))
@@ -138,11 +141,11 @@
 }
 
 func (s *schedule) after(d time.Duration, do func()) {
-	s.serial++
-	heap.Push(&s.queue, action{at: s.now.Add(d), serial: s.serial, do: do})
+	s.lastSerial++
+	heap.Push(&s.queue, action{at: s.now.Add(d), serial: s.lastSerial, do: do})
 }
 
-func (s *schedule) between(least, most time.Duration) time.Duration {
+func (s *schedule) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
 }
 
@@ -156,87 +159,88 @@
 		s.connections.crash()
 	}
 	earlier := s.worker
-	s.worker = newFakeWorker(fmt.Sprintf("worker-%d", s.incarnations), s.now.Add(-s.between(0, time.Hour)), worker.Resources{CPU: 4 * taskCPU}, needs)
-	if s.restarting != nil {
+	s.worker = newFakeWorker(fmt.Sprintf("worker-%d", s.incarnations), s.now.Add(-s.randomDuration(0, time.Hour)), worker.Resources{CPU: 4 * taskCPU}, needs)
+	if s.restartRandom != nil {
 		s.worker.started = int64(s.incarnations)
 	}
-	if earlier != nil && s.restarting != nil && s.restarting.IntN(2) == 0 {
+	if earlier != nil && s.restartRandom != nil && s.restartRandom.IntN(2) == 0 {
 		s.worker.id = earlier.id
-		s.worker.downUntil = s.now.Add(s.restartTime())
+		s.worker.downUntil = s.now.Add(s.randomDowntime())
 	}
 	s.worker.hidesStopping = s.incarnations%2 == 0
 	s.worker.isUnguarded = s.isUnguarded
 	if earlier != nil {
-		// The runs are counted over all incarnations.
+		// Runs are counted over all incarnations.
 		s.worker.begun, s.worker.done = earlier.begun, earlier.done
 		s.delayHeartbeat(earlier)
 	}
-	s.beat(s.worker, 1)
+	s.sendHeartbeats(s.worker, 1)
 }
 
-// restartTime returns how long nothing listens while the worker starts again under its ID: half of the times as short as it can be.
-func (s *schedule) restartTime() time.Duration {
+// randomDowntime returns how long the worker does not listen while it restarts under the same ID. In half of the cases it
+// is the shortest possible time.
+func (s *schedule) randomDowntime() time.Duration {
 	const least, most = 20 * time.Millisecond, 2 * time.Second
-	if s.restarting.IntN(2) == 0 {
+	if s.restartRandom.IntN(2) == 0 {
 		return least
 	}
-	return least + time.Duration(s.restarting.Int64N(int64(most)))
+	return least + time.Duration(s.restartRandom.Int64N(int64(most)))
 }
 
-// delayHeartbeat lets the last heartbeat of an incarnation arrive some time after it has crashed.
+// delayHeartbeat delivers the last heartbeat of an incarnation some time after its crash.
 func (s *schedule) delayHeartbeat(w *fakeWorker) {
 	record := worker.Record{ID: w.id, StartedMillis: w.started, Service: "service", Zone: testZone, Capacity: w.capacity, Draining: true, Sequence: 1 << 20, Clock: w.clock(s.now)}
-	s.after(s.between(0, 5*time.Second), func() { s.handle(HeartbeatReceived{Record: record}) })
+	s.after(s.randomDuration(0, 5*time.Second), func() { s.handle(HeartbeatReceived{Record: record}) })
 }
 
-// sorted returns the open sessions in order.
+// sorted returns the IDs of the open sessions in order.
 func (s *schedule) sorted() []SessionID {
 	return slices.Sorted(maps.Keys(s.entries))
 }
 
-// beat sends the heartbeats of an incarnation until the next one begins.
-func (s *schedule) beat(w *fakeWorker, sequence uint64) {
+// sendHeartbeats sends the heartbeats of an incarnation until the next one starts.
+func (s *schedule) sendHeartbeats(w *fakeWorker, sequence uint64) {
 	if s.worker != w {
 		return
 	}
 	if wait := w.downUntil.Sub(s.now); wait > 0 {
-		s.after(wait, func() { s.beat(w, sequence) })
+		s.after(wait, func() { s.sendHeartbeats(w, sequence) })
 		return
 	}
 	record := worker.Record{ID: w.id, StartedMillis: w.started, Service: "service", Zone: testZone, Capacity: w.capacity, Sequence: sequence, Clock: w.clock(s.now)}
-	s.after(s.between(0, 5*time.Millisecond), func() { s.handle(HeartbeatReceived{Record: record}) })
-	s.after(1500*time.Millisecond, func() { s.beat(w, sequence+1) })
+	s.after(s.randomDuration(0, 5*time.Millisecond), func() { s.handle(HeartbeatReceived{Record: record}) })
+	s.after(1500*time.Millisecond, func() { s.sendHeartbeats(w, sequence+1) })
 }
 
 func (s *schedule) tick() {
 	s.after(20*time.Millisecond, func() {
-		if s.now.After(s.frozen) {
+		if s.now.After(s.frozenUntil) {
 			s.handle(Ticked{})
 		}
 		s.tick()
 	})
 }
 
-// handle applies an event to the runner, at once or when the agent thaws.
+// handle applies an event to the runner, at once or when the agent is no longer frozen.
 func (s *schedule) handle(event Event) {
-	if s.frozen.After(s.now) || len(s.inbox) > 0 {
+	if s.frozenUntil.After(s.now) || len(s.inbox) > 0 {
 		s.inbox = append(s.inbox, event)
 		if len(s.inbox) == 1 {
-			s.thaw()
+			s.handleInbox()
 		}
 		return
 	}
 	s.applyEvent(event)
 }
 
-// thaw applies the events that arrived while the agent was frozen, in order.
-func (s *schedule) thaw() {
+// handleInbox applies the events that arrived while the agent was frozen, in order, once it is no longer frozen.
+func (s *schedule) handleInbox() {
 	epoch := s.epoch
-	s.after(max(s.frozen.Sub(s.now), 0)+time.Millisecond, func() {
+	s.after(max(s.frozenUntil.Sub(s.now), 0)+time.Millisecond, func() {
 		switch {
 		case epoch != s.epoch:
-		case s.frozen.After(s.now):
-			s.thaw()
+		case s.frozenUntil.After(s.now):
+			s.handleInbox()
 		default:
 			events := s.inbox
 			s.inbox = nil
@@ -248,48 +252,48 @@
 }
 
 func (s *schedule) applyEvent(event Event) {
-	if news, ok := event.(EvacuationsReceived); ok {
-		s.told = s.told.Merge(news.State)
+	if received, ok := event.(EvacuationsReceived); ok {
+		s.told = s.told.Merge(received.State)
 	}
 	for _, effect := range s.runner.Handle(s.now, event) {
 		s.applyEffect(effect)
 	}
-	s.checkUse()
+	s.checkResources()
 }
 
-// checkUse checks that the runner's count of used resources is the sum over its active tasks, that of offered resources the
-// sum over its offers, and that both fit on the worker.
-func (s *schedule) checkUse() {
+// checkResources checks that the runner's used resources are the sum over its active tasks, that its offered resources
+// are the sum over its offers, and that together they do not exceed the worker's capacity.
+func (s *schedule) checkResources() {
 	var offered worker.Resources
 	for _, o := range s.runner.offers {
 		offered = offered.Plus(o.unused)
 	}
 	if offered != s.runner.offered {
-		s.t.Fatalf("the runner counts %+v as offered, its offers have %+v", s.runner.offered, offered)
+		s.t.Fatalf("offered resources are %+v, the sum over the offers is %+v", s.runner.offered, offered)
 	}
 	if s.runner.worker == nil {
 		return
 	}
 	for kind, used := range s.runner.worker.usedByKind {
-		if want := s.activeOf(kind) * taskCPU; used != want {
-			s.t.Fatalf("the runner counts %d as used by the kind %q, its active tasks use %d", used, kind, want)
+		if want := s.countActive(kind) * taskCPU; used != want {
+			s.t.Fatalf("%d CPU are counted as used by the kind %q, its active tasks use %d", used, kind, want)
 		}
 	}
 	for _, t := range s.runner.active() {
 		if used := s.runner.worker.usedByKind[t.Kind]; used == 0 {
-			s.t.Fatalf("the runner counts nothing as used by the kind %q, of which a task is active", t.Kind)
+			s.t.Fatalf("CPU used by kind %q is 0, but a task of it is active", t.Kind)
 		}
 	}
 	if used := len(s.runner.active()) * taskCPU; used != s.runner.worker.used.CPU {
-		s.t.Fatalf("the runner counts %d as used, its active tasks use %d", s.runner.worker.used.CPU, used)
+		s.t.Fatalf("used CPU is %d, the sum over the active tasks is %d", s.runner.worker.used.CPU, used)
 	}
 	if free := s.runner.free(); free.CPU < 0 && s.worker.resizedAt.IsZero() {
-		s.t.Fatalf("the runner uses and offers %d more than there is", -free.CPU)
+		s.t.Fatalf("used and offered CPU exceed the capacity by %d", -free.CPU)
 	}
 }
 
-// activeOf returns how many active tasks are of a kind.
-func (s *schedule) activeOf(kind string) int {
+// countActive returns the number of active tasks of a kind.
+func (s *schedule) countActive(kind string) int {
 	count := 0
 	for _, t := range s.runner.active() {
 		if t.Kind == kind {
@@ -307,7 +311,7 @@
 		}
 		s.starts++
 		s.checkEjection(e)
-		takes, fails := s.between(20*time.Millisecond, 900*time.Millisecond), s.chance(s.failShare())
+		takes, fails := s.randomDuration(20*time.Millisecond, 900*time.Millisecond), s.chance(s.failureRate())
 		if s.connections != nil {
 			takes = max(takes, shortestRun, s.runner.tasks[e.Start.Name].usualTime()/sureDivisor)
 		}
@@ -333,7 +337,7 @@
 	case SendPing:
 		entry := s.entries[e.Session]
 		if entry != nil && !entry.unresponsive {
-			s.after(s.between(time.Millisecond, 6*time.Millisecond), func() { s.handle(PongReceived{Session: e.Session, Sent: e.Time}) })
+			s.after(s.randomDuration(time.Millisecond, 6*time.Millisecond), func() { s.handle(PongReceived{Session: e.Session, Sent: e.Time}) })
 		}
 	case SendUpdate:
 		s.update(e)
@@ -356,8 +360,8 @@
 	}
 }
 
-// failShare returns the part of the runs that fail now.
-func (s *schedule) failShare() float64 {
+// failureRate returns the fraction of runs that fail at the current time.
+func (s *schedule) failureRate() float64 {
 	const usual, faulty, phase = 0.05, 0.8, 3 * time.Second
 	if s.ejecting != nil && s.now.UnixNano()/int64(phase)%2 == 0 {
 		return faulty
@@ -365,8 +369,8 @@
 	return usual
 }
 
-// checkEjection fails if a task is started on an ejected worker that is no probe and does not ignore the ejection, or if more probes run than
-// put a worker in service.
+// checkEjection fails if a task is started on an ejected worker that is neither a probe nor ignores the ejection, or if
+// there are more probes than are needed to end the ejection.
 func (s *schedule) checkEjection(e CallStart) {
 	if !s.runner.isEjected() {
 		return
@@ -383,7 +387,7 @@
 	}
 }
 
-// answerProbe lets an entry use a probe, for one task or wrongly for two, or give it back, or not answer it.
+// answerProbe lets an entry use a probe for one task or, wrongly, for two, return it unused, or not answer it.
 func (s *schedule) answerProbe(e SendOffer) {
 	if s.ejecting == nil || s.ejecting.IntN(8) == 0 {
 		return
@@ -404,7 +408,8 @@
 	})
 }
 
-// nextName returns the name of the next task: one of a job of its own if ejections are played, as of one job only one failed run counts.
+// nextName returns the name of the next task. In schedules with ejections each task belongs to another job, as only one
+// failed run of a job counts.
 func (s *schedule) nextName() string {
 	if s.ejecting != nil {
 		return fmt.Sprintf("job%d.0.0.0", s.tasks)
@@ -412,15 +417,15 @@
 	return fmt.Sprintf("job.0.0.%d", s.tasks)
 }
 
-// answerOffer lets an entry use an offer, part of it or nothing of it, in time or late, or not answer it.
+// answerOffer lets an entry use all, part or none of an offer, in time or late, or not answer it.
 func (s *schedule) answerOffer(e SendOffer) {
-	if kind, _ := ofKind(e.Offer.Job); kind != e.Offer.Kind {
+	if kind, _ := kindOf(e.Offer.Job); kind != e.Offer.Kind {
 		s.t.Fatalf("the offer for %s of the kind %q is for the kind %q", e.Offer.Job, kind, e.Offer.Kind)
 	}
-	if s.chance(s.faults) {
+	if s.chance(s.callFaultRate) {
 		return
 	}
-	s.after(s.between(time.Millisecond, 30*time.Millisecond), func() {
+	s.after(s.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
 		entry := s.entries[e.Session]
 		if entry == nil || entry.unresponsive {
 			return
@@ -443,26 +448,27 @@
 	entry := s.entries[id]
 	entry.number++
 	entry.open[t.Name] = true
-	t.Kind, t.Estimate = ofKind(t.Name)
+	t.Kind, t.Estimate = kindOf(t.Name)
 	t.Urgency.StartBy = s.now.Add(testSlack)
 	s.handle(StartRequested{Session: id, Number: entry.number, Task: t})
 }
 
-// reserve reserves for tasks of a job.
+// reserve reserves resources for tasks of a job.
 func (s *schedule) reserve(id SessionID, job string, count int) {
-	urgency := Urgency{HasStarted: s.chance(0.2), Priority: s.random.IntN(3), StartBy: s.now.Add(s.between(-50*time.Millisecond, 200*time.Millisecond))}
-	kind, estimate := ofKind(job)
+	urgency := Urgency{HasStarted: s.chance(0.2), Priority: s.random.IntN(3), StartBy: s.now.Add(s.randomDuration(-50*time.Millisecond, 200*time.Millisecond))}
+	kind, estimate := kindOf(job)
 	s.handle(ReservationRequested{Session: id, Reservation: Reservation{
 		Job: job, Needs: worker.Resources{CPU: taskCPU}, Count: count, Urgency: urgency, Kind: kind, Estimate: estimate,
 	}})
 }
 
-// call makes a call to the worker. Some calls get no answer and are carried out soon, late or never.
+// call makes a call to the worker. Some calls get no answer; these are carried out soon, late or never.
 func (s *schedule) call(do func() worker.Result, answered func(worker.Result) Event) {
 	s.callWith(nil, do, answered)
 }
 
-// callWith makes a call of which late draws how late an answer comes that was not there in time, unless it is nil.
+// callWith is like call, but some calls that timed out are answered late, with a delay drawn from late. If late is nil,
+// there are no late answers.
 func (s *schedule) callWith(late *rand.Rand, do func() worker.Result, answered func(worker.Result) Event) {
 	epoch := s.epoch
 	post := func(result worker.Result) {
@@ -470,32 +476,31 @@
 			s.handle(answered(result))
 		}
 	}
-	if s.chance(s.faults) {
+	if s.chance(s.callFaultRate) {
 		switch s.random.IntN(3) {
 		case 0:
-			s.after(s.between(0, 3*time.Millisecond), func() {
+			s.after(s.randomDuration(0, 3*time.Millisecond), func() {
 				result := do()
 				if late != nil {
-					s.after(unansweredAfter+time.Duration(late.Int64N(int64(maxLateAnswer))), func() { post(result) })
+					s.after(callTimeout+time.Duration(late.Int64N(int64(maxLateAnswer))), func() { post(result) })
 				}
 			})
 		case 1:
-			s.after(s.between(2*time.Second, 12*time.Second), func() { do() })
+			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { do() })
 		}
-		s.after(unansweredAfter, func() { post(worker.Unanswered{Reason: "lost"}) })
+		s.after(callTimeout, func() { post(worker.Unanswered{Reason: "lost"}) })
 		return
 	}
-	s.after(s.between(100*time.Microsecond, 2*time.Millisecond), func() {
+	s.after(s.randomDuration(100*time.Microsecond, 2*time.Millisecond), func() {
 		result := do()
-		s.after(s.between(100*time.Microsecond, 2*time.Millisecond), func() { post(result) })
+		s.after(s.randomDuration(100*time.Microsecond, 2*time.Millisecond), func() { post(result) })
 	})
 }
 
 const (
-	// unansweredAfter is how long after it was made a call without an answer counts as unanswered, and maxLateAnswer how much later an answer
-	// comes at the most.
-	unansweredAfter = 25 * time.Millisecond
-	maxLateAnswer   = 300 * time.Millisecond
+	// callTimeout is the time-out of calls, and maxLateAnswer the longest time after it at which a late answer arrives.
+	callTimeout   = 25 * time.Millisecond
+	maxLateAnswer = 300 * time.Millisecond
 )
 
 func (s *schedule) update(e SendUpdate) {
@@ -531,14 +536,15 @@
 	s.sessions++
 	s.entries[s.sessions] = &fakeEntry{name: name, open: make(map[string]bool), outcomes: make(map[string]Outcome), reserved: make(map[string][]string)}
 	s.handle(SessionOpened{Session: s.sessions, Entry: name, Zone: name})
-	if s.evacuating != nil {
-		s.tell(s.anyNews())
+	if s.evacuationRandom != nil {
+		s.tell(s.randomEvacuationState())
 	}
 	return s.sessions
 }
 
-// run advances the virtual time by length. Until 4 s before the end it submits tasks and, if troubles is set, causes troubles.
-func (s *schedule) run(length time.Duration, troubles bool) {
+// run advances the virtual time by length. Until 4 s before the end it submits tasks and, if withFaults is set, injects
+// faults.
+func (s *schedule) run(length time.Duration, withFaults bool) {
 	end := s.now.Add(length)
 	var submit func()
 	submit = func() {
@@ -548,24 +554,24 @@
 			if s.connections != nil {
 				s.connections.resubmit()
 			}
-			s.after(s.between(0, 150*time.Millisecond), submit)
+			s.after(s.randomDuration(0, 150*time.Millisecond), submit)
 		}
 	}
 	s.after(0, submit)
-	var trouble func()
-	trouble = func() {
+	var injectFaults func()
+	injectFaults = func() {
 		if s.now.Before(end.Add(-4 * time.Second)) {
-			s.trouble()
-			s.after(s.between(100*time.Millisecond, 3*time.Second), trouble)
+			s.injectFault()
+			s.after(s.randomDuration(100*time.Millisecond, 3*time.Second), injectFaults)
 		}
 	}
-	if troubles {
-		s.after(time.Second, trouble)
+	if withFaults {
+		s.after(time.Second, injectFaults)
 	}
-	if s.resizing != nil {
+	if s.resizeRandom != nil {
 		s.resize()
 	}
-	if s.evacuating != nil {
+	if s.evacuationRandom != nil {
 		s.evacuate()
 	}
 	for s.queue.Len() > 0 && s.queue[0].at.Before(end) {
@@ -596,29 +602,29 @@
 	}
 	s.start(id, Task{
 		Name: name, Run: 1, Needs: worker.Resources{CPU: taskCPU}, Expected: 300 * time.Millisecond,
-		MaxWait: s.between(0, 300*time.Millisecond), IgnoresEjection: s.ejecting != nil && s.ejecting.IntN(8) == 0,
+		MaxWait: s.randomDuration(0, 300*time.Millisecond), IgnoresEjection: s.ejecting != nil && s.ejecting.IntN(8) == 0,
 	})
 	if s.chance(0.1) {
-		s.after(s.between(0, 300*time.Millisecond), func() { s.handle(StopRequested{Session: id, Name: name}) })
+		s.after(s.randomDuration(0, 300*time.Millisecond), func() { s.handle(StopRequested{Session: id, Name: name}) })
 	}
 }
 
-// submitReserved reserves for some tasks, and cancels the reservation a little later: there are more tasks than the worker
-// can run.
+// submitReserved reserves resources for some tasks and cancels the reservation later, as there are more tasks than the
+// worker can run.
 func (s *schedule) submitReserved(id SessionID, name string) {
 	entry, count := s.entries[id], 1+s.random.IntN(4)
 	for k := range count {
 		entry.reserved[name] = append(entry.reserved[name], fmt.Sprintf("%s-%d", name, k))
 	}
 	s.reserve(id, name, count)
-	s.after(s.between(0, time.Second), func() {
+	s.after(s.randomDuration(0, time.Second), func() {
 		delete(entry.reserved, name)
 		s.handle(ReservationRequested{Session: id, Reservation: Reservation{Job: name}})
 	})
 }
 
-// trouble restarts the worker or the agent, freezes the agent, or cuts off an entry with or without notice.
-func (s *schedule) trouble() {
+// injectFault restarts the worker or the agent, freezes the agent, or disconnects an entry with or without notice.
+func (s *schedule) injectFault() {
 	switch s.random.IntN(5) {
 	case 0:
 		s.newIncarnation()
@@ -628,7 +634,7 @@
 			return
 		}
 	case 2:
-		s.frozen = s.now.Add(s.between(100*time.Millisecond, 4*time.Second))
+		s.frozenUntil = s.now.Add(s.randomDuration(100*time.Millisecond, 4*time.Second))
 	case 3:
 		for _, id := range s.sorted() {
 			delete(s.entries, id)
@@ -640,22 +646,24 @@
 	}
 }
 
-// restart replaces the agent by a new process, which has to find out what runs.
+// restart replaces the agent by a new process, which has to find out which runs are on the worker.
 func (s *schedule) restart() {
 	s.epoch++
-	s.frozen = time.Time{}
+	s.frozenUntil = time.Time{}
 	s.inbox = nil
-	s.fence = s.nextFence()
+	s.fence = s.nextFencingToken()
 	s.runner = New(s.limits, s.fence)
 	s.told = evacuation.State{}
 	s.entries = make(map[SessionID]*fakeEntry)
 }
 
-// nextFence returns the fencing token of the next process of the agent. Tokens are milliseconds of its start, so it is higher than any that
-// the process before has used. With workers that keep no ID it may also be lower, as after the VM's clock was set back: a worker that
-// starts again under its ID has forgotten the tokens, and would carry out a late start of the process before.
-func (s *schedule) nextFence() uint64 {
-	if s.restarting != nil {
+// nextFencingToken returns the fencing token of the next process of the agent. Tokens are the start time of the process in
+// milliseconds, so the next one is normally higher than all tokens that the previous process used. With workers that never
+// keep their ID it may also be lower, as after the VM's clock was set back. It must not be lower with workers that keep
+// it: a worker that restarts under the same ID has lost the tokens and would carry out a late start of the previous
+// process.
+func (s *schedule) nextFencingToken() uint64 {
+	if s.restartRandom != nil {
 		return max(s.fence, s.runner.fence) + 1
 	}
 	return s.fence + 1
@@ -664,55 +672,57 @@
 // testZone is the availability zone of the workers.
 const testZone = "z"
 
-// evacuate changes the zone now and then. News of the changes come late, repeated and in any order, and some are lost.
+// evacuate evacuates the zone or revokes the evacuation at random times. The messages about the changes arrive late,
+// repeatedly and in any order, and some are lost.
 func (s *schedule) evacuate() {
-	if s.evacuating == nil {
+	if s.evacuationRandom == nil {
 		return
 	}
-	if s.evacuating.Float64() < 0.1 {
-		change := evacuation.Change{Zone: testZone, Revision: evacuation.Revision(len(s.history) + 1), IsEvacuated: len(s.history)%2 == 0}
-		s.history = append(s.history, change)
+	if s.evacuationRandom.Float64() < 0.1 {
+		change := evacuation.Change{Zone: testZone, Revision: evacuation.Revision(len(s.evacuationChanges) + 1), IsEvacuated: len(s.evacuationChanges)%2 == 0}
+		s.evacuationChanges = append(s.evacuationChanges, change)
 	}
-	if s.evacuating.Float64() < 0.4 {
-		news, epoch := s.anyNews(), s.epoch
-		s.after(time.Duration(s.evacuating.Int64N(int64(300*time.Millisecond))), func() {
+	if s.evacuationRandom.Float64() < 0.4 {
+		state, epoch := s.randomEvacuationState(), s.epoch
+		s.after(time.Duration(s.evacuationRandom.Int64N(int64(300*time.Millisecond))), func() {
 			if epoch == s.epoch {
-				s.tell(news)
+				s.tell(state)
 			}
 		})
 	}
-	s.after(time.Duration(s.evacuating.Int64N(int64(200*time.Millisecond))), s.evacuate)
+	s.after(time.Duration(s.evacuationRandom.Int64N(int64(200*time.Millisecond))), s.evacuate)
 }
 
-// anyNews returns what an entry may know: one of the latest changes.
-func (s *schedule) anyNews() evacuation.State {
-	if len(s.history) == 0 {
+// randomEvacuationState returns a state that an entry may have: one of the latest changes.
+func (s *schedule) randomEvacuationState() evacuation.State {
+	if len(s.evacuationChanges) == 0 {
 		return evacuation.State{}
 	}
-	latest := s.history[len(s.history)-1-s.evacuating.IntN(min(len(s.history), 3))]
+	latest := s.evacuationChanges[len(s.evacuationChanges)-1-s.evacuationRandom.IntN(min(len(s.evacuationChanges), 3))]
 	return evacuation.New(0, []evacuation.Change{latest})
 }
 
-// tell tells the agent what an entry knows.
+// tell sends an entry's evacuation state to the agent.
 func (s *schedule) tell(state evacuation.State) {
 	s.handle(EvacuationsReceived{State: state})
 }
 
-// resize gives the worker another capacity now and then, from none at all to more than the first one. A heartbeat says so soon, as
-// on the platform within its interval.
+// resize changes the worker's capacity at random times, to between zero and more than the initial capacity. A heartbeat
+// reports the change soon after, like on the platform, where it does so within the heartbeat interval.
 func (s *schedule) resize() {
-	s.after(time.Duration(s.resizing.Int64N(int64(2*time.Second))), func() {
-		if s.resizing == nil {
+	s.after(time.Duration(s.resizeRandom.Int64N(int64(2*time.Second))), func() {
+		if s.resizeRandom == nil {
 			return
 		}
-		s.worker.resize(s.now, worker.Resources{CPU: s.resizing.IntN(7) * taskCPU})
-		s.beatSize(s.worker)
+		s.worker.resize(s.now, worker.Resources{CPU: s.resizeRandom.IntN(7) * taskCPU})
+		s.sendCapacity(s.worker)
 		s.resize()
 	})
 }
 
-// beatSize sends a heartbeat with the present capacity of an incarnation, which counts as its latest.
-func (s *schedule) beatSize(w *fakeWorker) {
+// sendCapacity sends a heartbeat with the current capacity of an incarnation. Its sequence number is higher than those of
+// the regular heartbeats.
+func (s *schedule) sendCapacity(w *fakeWorker) {
 	record := worker.Record{ID: w.id, StartedMillis: w.started, Service: "service", Zone: testZone, Capacity: w.capacity, Sequence: 1 << 19, Clock: w.clock(s.now)}
 	s.after(time.Millisecond, func() { s.handle(HeartbeatReceived{Record: record}) })
 }
@@ -728,7 +738,7 @@
 		s := newSchedule(t, seed, []float64{0, 0.05, 0.3}[seed%3], seed%2 == 0)
 		s.run(20*time.Second, true)
 		// Without further tasks and faults every task gets its outcome and every run ends.
-		s.faults = 0
+		s.callFaultRate = 0
 		s.run(16*time.Second, false)
 		for _, entry := range s.entries {
 			for name := range entry.open {
@@ -747,20 +757,20 @@
 	}
 }
 
-// TestRandomSchedulesWithEvacuationsStartNothingThere evacuates the worker's zone again and again, with lost, late and reordered
-// news, while calls are lost and late and worker, agent and entries restart. The agent starts nothing while it knows, and tasks
-// start again once the zone was taken back.
+// TestRandomSchedulesWithEvacuationsStartNothingThere evacuates the worker's zone repeatedly, with lost, late and reordered
+// messages, while calls are lost and late and worker, agent and entries restart. The agent must start nothing while it
+// knows of the evacuation, and must start tasks again once the evacuation is revoked.
 func TestRandomSchedulesWithEvacuationsStartNothingThere(t *testing.T) {
 	for seed := *first; seed < *first+uint64(*schedules); seed++ {
 		s := newSchedule(t, seed, []float64{0, 0.05, 0.3}[seed%3], seed%2 == 0)
-		s.evacuating = rand.New(rand.NewPCG(seed, 4))
+		s.evacuationRandom = rand.New(rand.NewPCG(seed, 4))
 		s.run(20*time.Second, true)
-		s.faults, s.evacuating = 0, nil
-		s.tell(evacuation.New(evacuation.Revision(len(s.history)+1), nil))
+		s.callFaultRate, s.evacuationRandom = 0, nil
+		s.tell(evacuation.New(evacuation.Revision(len(s.evacuationChanges)+1), nil))
 		s.starts = 0
 		s.run(16*time.Second, false)
 		if s.starts == 0 {
-			t.Fatalf("seed %d: nothing started after the zone was taken back", seed)
+			t.Fatalf("seed %d: nothing started after the evacuation was revoked", seed)
 		}
 		for _, entry := range s.entries {
 			for name := range entry.open {
@@ -773,15 +783,16 @@
 	}
 }
 
-// TestRandomSchedulesWithEjection lets the worker fail most of its runs at times, while calls are lost and late and worker, agent and entries
-// restart. Nothing is started on the ejected worker but probes and what ignores the ejection, and it is in service again in the end.
+// TestRandomSchedulesWithEjection lets the worker fail most of its runs at times, while calls are lost and late and worker,
+// agent and entries restart. Only probes and tasks that ignore the ejection may start on the ejected worker, and the
+// ejection must have ended when the runs have stopped failing.
 func TestRandomSchedulesWithEjection(t *testing.T) {
 	ejections, probes, restored := 0, 0, 0
 	for seed := *first; seed < *first+uint64(*schedules); seed++ {
 		s := newSchedule(t, seed, []float64{0, 0.05, 0.3}[seed%3], seed%2 == 0)
 		s.ejecting = rand.New(rand.NewPCG(seed, 6))
 		s.run(20*time.Second, true)
-		s.faults, s.ejecting = 0, nil
+		s.callFaultRate, s.ejecting = 0, nil
 		s.run(16*time.Second, false)
 		for _, entry := range s.entries {
 			for name := range entry.open {
@@ -792,12 +803,12 @@
 			t.Fatalf("seed %d: %d tasks, %d runs and %d offers are left", seed, len(s.runner.tasks), len(s.worker.runs), len(s.runner.offers))
 		}
 		if s.runner.isEjected() {
-			t.Fatalf("seed %d: the worker is ejected in the end", seed)
+			t.Fatalf("seed %d: the worker is still ejected at the end", seed)
 		}
 		ejections, probes, restored = ejections+s.ejections, probes+s.probes, restored+s.restored
 	}
 	if ejections < *schedules/2 || probes < ejections || restored < ejections/2 {
-		t.Errorf("%d ejections, %d probes, %d times in service again: the schedules hardly play any", ejections, probes, restored)
+		t.Errorf("%d ejections, %d probes, %d ends of ejections: too few for the schedules to test them", ejections, probes, restored)
 	}
 }
 
@@ -815,17 +826,18 @@
 	}
 }
 
-// TestRandomSchedulesWithChangingCapacityOverfillNoWorker lets workers that do not guard their capacity change it, while calls are
-// lost and late. A start that was on its way when it shrank is no fault; nothing else may take the worker over it, and all tasks
-// get their outcome. The agent is not frozen: a heartbeat that waits in its socket is older than the starts behind it.
+// TestRandomSchedulesWithChangingCapacityOverfillNoWorker changes the capacity of workers that do not enforce it, while
+// calls are lost and late. Only a start that was in flight when the capacity shrank may exceed it, and all tasks must get
+// an outcome. The agent is not frozen, because a heartbeat would then wait in its socket and be older than the starts that
+// follow it.
 func TestRandomSchedulesWithChangingCapacityOverfillNoWorker(t *testing.T) {
 	for seed := *first; seed < *first+uint64(*schedules); seed++ {
 		s := newSchedule(t, seed, []float64{0, 0.05, 0.3}[seed%3], true)
-		s.resizing = rand.New(rand.NewPCG(seed, 3))
+		s.resizeRandom = rand.New(rand.NewPCG(seed, 3))
 		s.run(20*time.Second, false)
-		s.faults, s.resizing = 0, nil
+		s.callFaultRate, s.resizeRandom = 0, nil
 		s.worker.resize(s.now, worker.Resources{CPU: 4 * taskCPU})
-		s.beatSize(s.worker)
+		s.sendCapacity(s.worker)
 		s.run(16*time.Second, false)
 		for _, entry := range s.entries {
 			for name := range entry.open {
--- a/internal/runner/shares_test.go
+++ b/internal/runner/shares_test.go
@@ -17,8 +17,8 @@
 	longTask  = 900 * time.Millisecond
 )
 
-// sharedWorker is a runner in virtual time whose worker has eight cores, with a session of an entry in each of two availability zones. Its runs
-// end when end is called.
+// sharedWorker is a runner in virtual time whose worker has eight cores, with a session of an entry in each of two
+// availability zones. Runs end when end is called.
 type sharedWorker struct {
 	t       *testing.T
 	runner  *Runner
@@ -39,7 +39,7 @@
 	return w
 }
 
-// handle applies an event and keeps its effects. The worker answers each listing and accepts each start.
+// handle applies an event and collects its effects. The worker answers each request for a listing and accepts each start.
 func (w *sharedWorker) handle(event Event) {
 	for _, effect := range w.runner.Handle(w.now, event) {
 		w.effects = append(w.effects, effect)
@@ -60,7 +60,7 @@
 	return worker.Reply{Clock: time.Duration(w.now.UnixNano()), Received: w.now}
 }
 
-// running returns what the worker lists.
+// running returns the runs that the worker lists.
 func (w *sharedWorker) running() []worker.Run {
 	var runs []worker.Run
 	for _, t := range w.runner.active() {
@@ -69,7 +69,7 @@
 	return runs
 }
 
-// start starts a task of a core and returns its name.
+// start starts a task that needs one core, and returns its name.
 func (w *sharedWorker) start(id SessionID, kind string, estimate time.Duration) string {
 	w.number++
 	name := fmt.Sprintf("%s-%d.0.0.0", kind, w.number)
@@ -83,14 +83,14 @@
 	return Urgency{StartBy: w.now.Add(estimate)}
 }
 
-// reserve reserves for a task of a core.
+// reserve reserves resources for a task that needs one core.
 func (w *sharedWorker) reserve(id SessionID, job, kind string, estimate time.Duration) {
 	w.handle(ReservationRequested{Session: id, Reservation: Reservation{
 		Job: job, Needs: worker.Resources{CPU: taskCPU}, Count: 1, Kind: kind, Estimate: estimate, Urgency: w.urgency(estimate),
 	}})
 }
 
-// end ends a run.
+// end reports that a run is done.
 func (w *sharedWorker) end(name string) {
 	w.ends++
 	running := slices.DeleteFunc(w.running(), func(r worker.Run) bool { return r.Name == name })
@@ -98,26 +98,26 @@
 	w.handle(RenewAnswered{Incarnation: worker.Incarnation{ID: "w"}, Sent: w.now, LongPoll: true, Result: listing})
 }
 
-// pass lets time pass, with ticks.
-func (w *sharedWorker) pass(length time.Duration) {
+// advance lets time advance, with ticks.
+func (w *sharedWorker) advance(length time.Duration) {
 	for end := w.now.Add(length); w.now.Before(end); {
 		w.now = w.now.Add(20 * time.Millisecond)
 		w.handle(Ticked{})
 	}
 }
 
-// makeScarce lets both entries wait for more than there is until the next tick.
-func (w *sharedWorker) makeScarce() {
+// makeCompetitorsWait lets both entries wait for more resources than the worker has until the next tick.
+func (w *sharedWorker) makeCompetitorsWait() {
 	for _, count := range []int{1, 0} {
 		for id := range SessionID(2) {
 			w.handle(ReservationRequested{Session: id + 1, Reservation: Reservation{Job: "large", Needs: worker.Resources{CPU: 9 * taskCPU}, Count: count}})
 		}
-		w.pass(20 * time.Millisecond)
+		w.advance(20 * time.Millisecond)
 	}
 }
 
-// offeredTo returns the jobs that got offers, in order.
-func (w *sharedWorker) offeredTo() []string {
+// offeredJobs returns the jobs that received offers, in order.
+func (w *sharedWorker) offeredJobs() []string {
 	var jobs []string
 	for _, effect := range w.effects {
 		if e, ok := effect.(SendOffer); ok {
@@ -127,25 +127,26 @@
 	return jobs
 }
 
-// useUsually lets short tasks use two cores for some seconds.
-func (w *sharedWorker) useUsually() {
+// runShortTasks runs short tasks on two cores for some seconds.
+func (w *sharedWorker) runShortTasks() {
 	for range 50 {
 		first, second := w.start(1, "short", shortTask), w.start(1, "short", shortTask)
-		w.pass(shortTask)
+		w.advance(shortTask)
 		w.end(first)
 		w.end(second)
 	}
 }
 
-// TestALongTaskLeavesRoomForUsualShortOnes starts long tasks until they are rejected.
-func TestALongTaskLeavesRoomForUsualShortOnes(t *testing.T) {
+// TestLongTasksLeaveHeadroomForShortTasks starts long tasks until they are rejected, on a worker of which short tasks
+// usually use two cores.
+func TestLongTasksLeaveHeadroomForShortTasks(t *testing.T) {
 	for _, test := range []struct {
 		isShared bool
 		want     int
 	}{{true, 6}, {false, 8}} {
 		w := newSharedWorker(t, test.isShared)
-		w.useUsually()
-		w.makeScarce()
+		w.runShortTasks()
+		w.makeCompetitorsWait()
 		w.effects = nil
 		for range 9 {
 			w.start(2, "long", longTask)
@@ -160,25 +161,26 @@
 	}
 }
 
-// TestAReservationThatLeavesRoomHoldsUpNobody asks what entries are told while a long task waits though there is room for short ones.
-func TestAReservationThatLeavesRoomHoldsUpNobody(t *testing.T) {
+// TestReservationLimitedByHeadroomDelaysNoOthers checks the load that entries receive while a long task waits although
+// there are free resources for short ones.
+func TestReservationLimitedByHeadroomDelaysNoOthers(t *testing.T) {
 	w := newSharedWorker(t, true)
-	w.useUsually()
-	w.makeScarce()
+	w.runShortTasks()
+	w.makeCompetitorsWait()
 	for range 6 {
 		w.start(2, "long", longTask)
 	}
 	w.effects = nil
 	w.reserve(2, "waits", "long", longTask)
 	load := w.runner.currentLoad(w.now)
-	if len(w.offeredTo()) > 0 || load.HasReservations || len(load.Headroom) == 0 || load.Headroom[0].CPU != 2*taskCPU {
-		t.Errorf("got offers to %v and the load %+v, want none, and 2 cores that long tasks leave free", w.offeredTo(), load)
+	if len(w.offeredJobs()) > 0 || load.HasReservations || len(load.Headroom) == 0 || load.Headroom[0].CPU != 2*taskCPU {
+		t.Errorf("got offers to %v and the load %+v, want none, and 2 cores that long tasks leave free", w.offeredJobs(), load)
 	}
 }
 
-// TestWhoUsedLessThanItsShareIsOfferedFirst lets one availability zone take all of the worker. What becomes free is offered to the other one,
-// although the first has a job that has begun.
-func TestWhoUsedLessThanItsShareIsOfferedFirst(t *testing.T) {
+// TestCompetitorBelowItsShareIsOfferedFirst lets one availability zone use all cores of the worker. A core that becomes
+// free is offered to the other zone, although the first one has a job that has started.
+func TestCompetitorBelowItsShareIsOfferedFirst(t *testing.T) {
 	for _, test := range []struct {
 		isShared bool
 		want     []string
@@ -188,7 +190,7 @@
 		for range 8 {
 			running = append(running, w.start(1, "kind", shortTask))
 		}
-		w.pass(time.Second)
+		w.advance(time.Second)
 		w.effects = nil
 		w.handle(ReservationRequested{Session: 1, Reservation: Reservation{
 			Job: "begun", Needs: worker.Resources{CPU: taskCPU}, Count: 1, Kind: "kind", Estimate: shortTask,
@@ -197,15 +199,15 @@
 		w.reserve(2, "steady", "kind", shortTask)
 		w.end(running[0])
 		w.handle(Ticked{})
-		if got := w.offeredTo(); !slices.Equal(got, test.want) {
+		if got := w.offeredJobs(); !slices.Equal(got, test.want) {
 			t.Errorf("shares %t: offers go to %v, want %v", test.isShared, got, test.want)
 		}
 	}
 }
 
-// TestOffersThatAreDroppedAreNotCharged lets one availability zone wait for offers, which are dropped as the worker is ejected or starts again
-// before they are used. Both zones have used nothing then, so the one that asks first is offered first.
-func TestOffersThatAreDroppedAreNotCharged(t *testing.T) {
+// TestDroppedOffersAreNotCharged makes offers to one availability zone that are dropped before they are used, as when the
+// worker is ejected or restarts. The zone has used nothing, so it must not be above its share.
+func TestDroppedOffersAreNotCharged(t *testing.T) {
 	for _, hasOffers := range []bool{false, true} {
 		w := newSharedWorker(t, true)
 		w.reserve(2, "other", "kind", shortTask)
@@ -214,16 +216,17 @@
 			w.reserve(1, fmt.Sprint("dropped-", i), "kind", longTask)
 		}
 		w.runner.dropAllReservations()
-		w.pass(20 * time.Millisecond)
-		w.makeScarce()
+		w.advance(20 * time.Millisecond)
+		w.makeCompetitorsWait()
 		if !w.runner.sharing.accounts.IsBelow(w.now, w.runner.sessions[1].competitor("kind")) {
-			t.Errorf("offers were dropped %t: the zone has used more than its share", hasOffers)
+			t.Errorf("offers dropped %t: the zone is charged for more than its share", hasOffers)
 		}
 	}
 }
 
-// TestAnOfferIsTakenBackAsItWasCharged makes an offer of a long task, and changes the reservation that led to it before the answer.
-func TestAnOfferIsTakenBackAsItWasCharged(t *testing.T) {
+// TestEndOfAnOfferReversesItsCharge makes an offer for a long task and changes its reservation before the offer is
+// answered. The end of the offer must reverse the original charge.
+func TestEndOfAnOfferReversesItsCharge(t *testing.T) {
 	w := newSharedWorker(t, true)
 	reservation := Reservation{Job: "j", Needs: worker.Resources{CPU: taskCPU}, Count: 9, Kind: "kind", Estimate: longTask, Urgency: w.urgency(longTask)}
 	w.handle(ReservationRequested{Session: 1, Reservation: reservation})
@@ -231,15 +234,16 @@
 	w.handle(ReservationRequested{Session: 1, Reservation: reservation})
 	w.handle(ReservationRequested{Session: 1, Reservation: Reservation{Job: "j"}})
 	w.handle(OfferAnswered{Session: 1, Offer: w.runner.lastOffer})
-	w.pass(20 * time.Millisecond)
-	w.makeScarce()
+	w.advance(20 * time.Millisecond)
+	w.makeCompetitorsWait()
 	if !w.runner.sharing.accounts.IsBelow(w.now, w.runner.sessions[1].competitor("kind")) {
-		t.Error("the zone used nothing, and is charged for more than its share")
+		t.Error("the zone has used nothing, but is charged for more than its share")
 	}
 }
 
-// TestAReservationCompetesAsItsLatestKind lets a job be submitted again as one of another kind.
-func TestAReservationCompetesAsItsLatestKind(t *testing.T) {
+// TestChangedReservationCompetesAsItsLatestKind replaces a reservation by one of another kind for the same job, as when
+// the job is submitted again.
+func TestChangedReservationCompetesAsItsLatestKind(t *testing.T) {
 	w := newSharedWorker(t, true)
 	for range 8 {
 		w.start(1, "busy", longTask)
@@ -247,13 +251,13 @@
 	w.reserve(1, "j", "earlier", shortTask)
 	w.reserve(1, "j", "later", shortTask)
 	if got, want := w.runner.waitingCompetitors(), w.runner.sessions[1].competitor("later"); len(got) != 1 || got[0] != want {
-		t.Errorf("%v wait, want %v", got, want)
+		t.Errorf("waiting competitors are %v, want %v", got, want)
 	}
 }
 
-// TestARunThatEndsWithItsWorkerIsChargedForWhatItTook lets a worker end under long tasks that were started just before. Their zone may use a
-// share of the next one at once.
-func TestARunThatEndsWithItsWorkerIsChargedForWhatItTook(t *testing.T) {
+// TestRunThatEndsWithItsWorkerIsChargedForItsActualTime ends the worker shortly after the start of long tasks. They must be
+// charged for the time that they ran, so that their zone can use its share of the next incarnation at once.
+func TestRunThatEndsWithItsWorkerIsChargedForItsActualTime(t *testing.T) {
 	for _, tellsStart := range []bool{false, true} {
 		w := newSharedWorker(t, true)
 		if tellsStart {
@@ -262,29 +266,29 @@
 		for range 8 {
 			w.start(1, "kind", time.Minute)
 		}
-		w.pass(20 * time.Millisecond)
+		w.advance(20 * time.Millisecond)
 		w.handle(RenewAnswered{Incarnation: w.runner.worker.record.Incarnation(), Sent: w.now, Result: worker.NotReached{}})
 		if w.runner.worker != nil {
 			t.Fatal("the worker has not ended")
 		}
 		if account := w.runner.sharing.accounts; !account.IsBelow(w.now.Add(2*time.Second), w.runner.sessions[1].competitor("kind")) {
-			t.Errorf("the start of the worker is told: %t: the zone is charged for more than its runs took", tellsStart)
+			t.Errorf("worker reports its start time %t: the zone is charged for more than its runs took", tellsStart)
 		}
 	}
 }
 
-// TestKindsThatUseNothingAreForgotten runs tasks of many kinds, one after the other.
-func TestKindsThatUseNothingAreForgotten(t *testing.T) {
+// TestUsageOfIdleKindsIsNotKept runs tasks of many kinds one after the other. The map of CPU usage by kind must not grow.
+func TestUsageOfIdleKindsIsNotKept(t *testing.T) {
 	w := newSharedWorker(t, true)
 	for i := range 20 {
 		w.end(w.start(1, fmt.Sprint("kind-", i), shortTask))
 	}
 	if kept := len(w.runner.worker.usedByKind); kept > 0 {
-		t.Errorf("the use of %d kinds is kept, of which no task is active", kept)
+		t.Errorf("usage of %d kinds is kept, but none has an active task", kept)
 	}
 }
 
-// BenchmarkOffer is the cost of an offer and its answer while 100 jobs of three kinds in three availability zones wait.
+// BenchmarkOffer measures an offer and its answer while 100 jobs of three kinds wait in three availability zones.
 func BenchmarkOffer(b *testing.B) {
 	for _, isShared := range []bool{false, true} {
 		b.Run(fmt.Sprintf("shares=%t", isShared), func(b *testing.B) {
--- a/internal/runner/supersede_test.go
+++ b/internal/runner/supersede_test.go
@@ -31,7 +31,7 @@
 	}})
 	for session := SessionID(1); session <= 2; session++ {
 		if !outcomes[session] {
-			t.Errorf("the start of session %d was superseded and has no outcome", session)
+			t.Errorf("the start of session %d was superseded but has no outcome", session)
 		}
 	}
 }
@@ -49,11 +49,11 @@
 		}
 	}
 	if outcome != OutcomeNotStarted {
-		t.Errorf("the stop of a start that waits for an earlier run is answered with %s, want %s", outcome, OutcomeNotStarted)
+		t.Errorf("outcome of a stopped start that waited for an earlier run is %s, want %s", outcome, OutcomeNotStarted)
 	}
 }
 
-// newSurveyedRunner returns a runner whose worker has shown that nothing runs on it, and the time after that.
+// newSurveyedRunner returns a runner whose worker has listed that it has no runs, and the time after that listing.
 func newSurveyedRunner() (*Runner, time.Time) {
 	now := time.Unix(1_000_000, 0)
 	r := New(DefaultLimits(time.Second, 50*time.Millisecond), 7)
