--- a/internal/runner/reservation.go
+++ b/internal/runner/reservation.go
@@ -51,7 +51,7 @@
 	Weight   float64
 }
 
-// OfferID identifies an offer within one process of the agent. Zero is none.
+// OfferID identifies an offer within one process of the agent. Zero means no offer.
 type OfferID uint64
 
 // Offer offers resources to an entry. They are kept for the entry until it answers or the offer expires.
@@ -206,7 +206,8 @@
 	r.emit(SendOffer{Session: best.session, Offer: r.newOffer(best, resources)})
 }
 
-// newOffer returns the latest offer in the form in which it is sent to the entry.
+// newOffer returns the latest offer in the form in which it is sent to the entry. It names no kind if shares are disabled: any job may then
+// use it.
 func (r *Runner) newOffer(best *reservation, resources worker.Resources) Offer {
 	o := Offer{ID: r.lastOffer, Job: best.Job, Resources: resources, Left: best.Count}
 	if !r.limits.NoShares {
--- a/internal/runner/shares_test.go
+++ b/internal/runner/shares_test.go
@@ -98,7 +98,7 @@
 	w.handle(RenewAnswered{Incarnation: worker.Incarnation{ID: "w"}, Sent: w.now, LongPoll: true, Result: listing})
 }
 
-// advance lets time advance, with ticks.
+// advance advances the virtual time, with a tick every 20 ms.
 func (w *sharedWorker) advance(length time.Duration) {
 	for end := w.now.Add(length); w.now.Before(end); {
 		w.now = w.now.Add(20 * time.Millisecond)
