--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -22,45 +22,46 @@
 	"sailhead/internal/worker"
 )
 
-// Worker is a client of the worker beside the agent. Each call is meant for one incarnation of the worker, and blocks
-// until there is an answer or its time is over. The methods are called concurrently.
+// Worker is a client of the agent's worker. Each call addresses one incarnation of the worker, and blocks until it is
+// answered or times out. Implementations must be safe for concurrent use.
 type Worker interface {
 	Start(incarnation worker.Incarnation, start worker.StartRequest) worker.StartResult
 	Stop(incarnation worker.Incarnation, stop worker.StopRequest) worker.StopResult
-	// Renew calls answered with the result, and again with the answer if the first result was that there was none in time.
+	// Renew calls answered with the result. If that was a time-out, it calls answered again when a late answer arrives.
 	Renew(incarnation worker.Incarnation, renew worker.RenewRequest, answered func(worker.RenewResult))
 }
 
-// Store keeps the agent's record, in which entries find its address and its worker.
+// Store holds the agent's record, from which entries learn its address and its worker.
 type Store interface {
-	// PutMember writes a record. An error leaves open whether it was written.
+	// PutMember writes a record. After an error the record may or may not have been written.
 	PutMember(member cluster.Member) error
 	// Member returns the record of a member; ok is false if there is none.
 	Member(name string) (m cluster.Member, ok bool, err error)
 }
 
-// Settings configure an agent. Seeds may be empty; everything else is required.
+// Settings configures an agent. Seeds may be empty; all other fields are required.
 type Settings struct {
-	// Name identifies the agent; it stays the same over restarts.
+	// Name identifies the agent; it stays the same across restarts.
 	Name string
 	// Zone is the availability zone of the agent's VM.
 	Zone string
-	// Sessions accepts the connections of entries. The agent closes it.
+	// Sessions accepts connections from entries. The agent closes it.
 	Sessions net.Listener
-	// Seeds are the addresses of entries to which the agent announces itself while none has a session.
+	// Seeds are the addresses of the entries to which the agent announces itself while no entry has a session.
 	Seeds  []string
 	Limits runner.Limits
-	// StopTimeout is the longest time between the request to stop and the end of the process.
+	// StopTimeout is the longest time from the shutdown request to the exit of the process.
 	StopTimeout time.Duration
-	// Ring is how many events may wait. A goroutine that posts another one blocks.
+	// Ring is the capacity of the event queue. Posting to a full queue blocks.
 	Ring int
 }
 
-// stopMargin is the part of Settings.StopTimeout that is left for closing sessions and ending the process after the wait for running tasks.
-const stopMargin = 700 * time.Millisecond
+// exitMargin is the part of Settings.StopTimeout that is reserved for closing the sessions and exiting once the wait for
+// running tasks is over.
+const exitMargin = 700 * time.Millisecond
 
-// rejectionsPerSecond bounds the log lines about rejected heartbeats: the worker beside the agent sends one in 1.5 s.
-const rejectionsPerSecond = 1
+// maxRejectionLinesPerSecond limits the log lines about rejected heartbeats. The agent's worker sends one every 1.5 s.
+const maxRejectionLinesPerSecond = 1
 
 // Agent is a running agent. Its methods are safe for concurrent use.
 type Agent struct {
@@ -75,11 +76,11 @@
 	metrics   *metric.Set
 	runs      runRecorder
 	shares    shareRecorder
-	// rejections is the limited log of heartbeats that were rejected.
-	rejections log.Logger
-	seeds      atomic.Pointer[[]string]
+	// rejectionLogger is the rate-limited logger for rejected heartbeats.
+	rejectionLogger log.Logger
+	seeds           atomic.Pointer[[]string]
 
-	// runner belongs to the event loop, which receives from events.
+	// runner is used by the event loop only, which receives from events.
 	runner *runner.Runner
 	events chan runner.Event
 	status status
@@ -91,8 +92,8 @@
 	goroutines sync.WaitGroup
 }
 
-// New starts an agent. Its clean-up shuts the agent down: it rejects new tasks, waits for the running ones until
-// Settings.StopTimeout is nearly over, and closes the sessions.
+// New starts an agent. The returned function shuts it down: it rejects new tasks, waits for the running ones until only
+// exitMargin of Settings.StopTimeout is left, and closes the sessions.
 func New(settings Settings, w Worker, store Store, logger log.Logger, metrics *metric.Set) (*Agent, func() error) {
 	now := time.Now()
 	a := &Agent{
@@ -107,11 +108,11 @@
 		metrics:      metrics,
 		runs:         newRunRecorder(metrics),
 		shares:       newShareRecorder(metrics),
-		runner:       runner.New(settings.Limits, newFence(now)),
+		runner:       runner.New(settings.Limits, newFencingToken(now)),
 		events:       make(chan runner.Event, settings.Ring),
 		registration: newRegistration(),
 	}
-	a.rejections = logging.NewLimited(a.logger, rejectionsPerSecond)
+	a.rejectionLogger = logging.NewLimited(a.logger, maxRejectionLinesPerSecond)
 	a.SetSeeds(settings.Seeds)
 	a.context, a.cancel = context.WithCancel(context.Background())
 	announcer, closeAnnouncer := cluster.NewAnnouncer()
@@ -132,37 +133,38 @@
 	}
 }
 
-// newFence returns the fencing token of a process that started at that time: milliseconds since 1970, so that a later
-// process has a higher one, also if the agent restarts within a second. The runner copes with a clock that was set back.
-func newFence(started time.Time) uint64 {
+// newFencingToken returns the fencing token of a process that started at the given time: the Unix time in milliseconds,
+// so that a restarted agent has a higher token even if it restarts within a second. The runner handles a clock that was
+// set back.
+func newFencingToken(started time.Time) uint64 {
 	return uint64(started.UnixMilli())
 }
 
-// SetSeeds replaces the addresses of entries to which the agent announces itself.
+// SetSeeds replaces Settings.Seeds.
 func (a *Agent) SetSeeds(seeds []string) {
 	a.seeds.Store(&seeds)
 }
 
-// HeartbeatReceived handles a heartbeat of the worker. It returns once the heartbeat is queued.
+// HeartbeatReceived queues a heartbeat of the worker for the event loop.
 func (a *Agent) HeartbeatReceived(record worker.Record) {
 	a.post(runner.HeartbeatReceived{Record: record})
 }
 
-// HeartbeatRejected logs and counts a heartbeat that names no worker to use.
+// HeartbeatRejected logs and counts a heartbeat that describes no usable worker.
 func (a *Agent) HeartbeatRejected(id string, err error) {
 	a.metrics.Add(metric.UnreadablePrefix+"heartbeat", 1)
-	_ = level.Warn(a.rejections).Log("msg", "heartbeat rejected", "life", id, "err", err)
+	_ = level.Warn(a.rejectionLogger).Log("msg", "heartbeat rejected", "life", id, "err", err)
 }
 
-// WorkerLeft handles the sign-off of the worker. It returns once the event is queued.
+// WorkerLeft queues the worker's notice that it is leaving for the event loop.
 func (a *Agent) WorkerLeft(incarnation worker.Incarnation) {
 	a.post(runner.WorkerLeft{Incarnation: incarnation})
 }
 
-// shutDown rejects new tasks and waits until none is left, or until only stopMargin of Settings.StopTimeout remains.
+// shutDown rejects new tasks and waits until no task is left, or until only exitMargin of Settings.StopTimeout remains.
 func (a *Agent) shutDown() {
 	a.post(runner.ShutdownRequested{})
-	deadline := clock.Now().Add(a.settings.StopTimeout - stopMargin)
+	deadline := clock.Now().Add(a.settings.StopTimeout - exitMargin)
 	for clock.Now().Before(deadline) {
 		time.Sleep(runner.TickInterval)
 		if a.status.isIdle() {
@@ -170,5 +172,5 @@
 			return
 		}
 	}
-	_ = level.Warn(a.logger).Log("msg", "stopped with tasks that still run")
+	_ = level.Warn(a.logger).Log("msg", "stopped while tasks are still running")
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// A start that an earlier process sent may arrive at the worker after the first call of this one, which must fence it.
+// A start request sent by the previous agent process may reach the worker after the first call of the new process. The
+// worker rejects it only if the new process has the higher fencing token.
 func TestARestartWithinASecondHasAHigherFence(t *testing.T) {
 	started := time.Unix(1_000_000, 0)
-	earlier, later := newFence(started), newFence(started.Add(10*time.Millisecond))
+	earlier, later := newFencingToken(started), newFencingToken(started.Add(10*time.Millisecond))
 	if later <= earlier {
 		t.Errorf("the process that started 10 ms later has the fencing token %d, the earlier one %d", later, earlier)
 	}
--- a/internal/agent/call.go
+++ b/internal/agent/call.go
@@ -12,8 +12,8 @@
 	"sailhead/internal/worker"
 )
 
-// callStart starts a run, unless the lease of the entry's session has expired before the call is made: the goroutine may
-// have been delayed, and the entry may run the task elsewhere after that.
+// callStart starts a run, unless the lease of the entry's session has expired by the time of the call. The goroutine may
+// have been delayed, and after the expiry the entry may run the task elsewhere.
 func (a *Agent) callStart(e runner.CallStart) {
 	var result worker.StartResult = worker.Invalid{Reason: "the session ended before the start"}
 	sent := clock.Now()
@@ -31,8 +31,9 @@
 	a.post(runner.StopAnswered{Incarnation: e.Incarnation, Name: e.Stop.Name, Run: e.Stop.Run, Result: result})
 }
 
-// callRenew renews the leases. sent is when the runner asked for it, which is no later than the call: a listing must not
-// be taken for newer than it is. An answer that comes late is that of no long poll, as the next one may be under way.
+// callRenew renews the leases. sent is the time of the runner's request, which is never later than that of the call, so
+// that a listing is not considered newer than it is. A late answer does not count as that of a long poll, since the next
+// long poll may already be open.
 func (a *Agent) callRenew(e runner.CallRenew, sent time.Time) {
 	began := clock.Now()
 	var wasAnswered atomic.Bool
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -16,8 +16,8 @@
 	"sailhead/internal/worker"
 )
 
-// logEvent logs an event that changes what the agent knows of sessions and of the worker, and failed calls. Messages and
-// fields that docs/OPERATIONS.md quotes keep older words: hold is a renewal, life an incarnation.
+// logEvent logs changes of sessions and of the worker, and failed calls. Messages and fields quoted in
+// docs/OPERATIONS.md use older terms: "hold" is a renewal, "life" an incarnation.
 func (a *Agent) logEvent(event runner.Event) {
 	switch e := event.(type) {
 	case runner.SessionOpened:
@@ -40,14 +40,14 @@
 	}
 }
 
-// countUnanswered counts a call to the worker without an answer.
+// countUnanswered counts a call to the worker that was not answered.
 func (a *Agent) countUnanswered(result worker.Result) {
 	if _, isUnanswered := result.(worker.Unanswered); isUnanswered {
 		a.metrics.Add(metric.CallsUnanswered, 1)
 	}
 }
 
-// logHeartbeat logs the first heartbeat of an incarnation and each change between draining and not.
+// logHeartbeat logs the first heartbeat of an incarnation and each change of the draining state.
 func (a *Agent) logHeartbeat(record worker.Record) {
 	known, ok := a.runner.Worker()
 	if ok && known.Incarnation() == record.Incarnation() && known.Draining == record.Draining {
@@ -56,7 +56,7 @@
 	_ = level.Info(a.logger).Log("msg", "worker", "life", record.Incarnation(), "draining", record.Draining, "cpu", record.Capacity.CPU)
 }
 
-// logRejected logs a start or a stop that the worker has not accepted.
+// logRejected logs a start or stop that the worker did not accept.
 func (a *Agent) logRejected(message, task string, run uint32, result worker.Result) {
 	if _, accepted := result.(worker.Accepted); accepted {
 		return
@@ -64,7 +64,7 @@
 	_ = level.Info(a.logger).Log("msg", message, "task", task, "run", run, "answer", describe(result))
 }
 
-// logRenewal logs a renewal that brought no listing.
+// logRenewal logs a renewal that was not answered with a listing.
 func (a *Agent) logRenewal(e runner.RenewAnswered) {
 	if _, isListing := e.Result.(worker.Listing); isListing {
 		return
@@ -73,7 +73,7 @@
 		"waited", e.LongPoll, "answer", describe(e.Result))
 }
 
-// logUpdate logs the end of a run, unless it is done.
+// logUpdate logs a run that ended without success.
 func (a *Agent) logUpdate(u runner.Update) {
 	if u.Outcome == runner.OutcomeDone || u.Outcome == runner.OutcomeStarted {
 		return
@@ -86,16 +86,16 @@
 	_ = level.Info(a.logger).Log("msg", "closing session", "session", e.Session, "reason", e.Reason)
 }
 
-// logDropped logs the end of a durable task's run that no owner has recorded and that is dropped.
+// logDropped logs the result of a durable task's run that is discarded before an owner recorded it.
 func (a *Agent) logDropped(e runner.EndDropped) {
 	_ = level.Warn(a.logger).Log("msg", "end dropped", "task", e.Name, "run", e.Run, "outcome", e.Outcome, "reason", e.Reason)
 }
 
-// maxLoggedRuns bounds the runs that one line names. More than this fit on few workers.
+// maxLoggedRuns limits the runs listed in one line. Few workers have room for more.
 const maxLoggedRuns = 16
 
-// logIncarnationEnded logs why an incarnation of the worker ended, what is known of the moment, and the runs that ended with it: any of
-// them may have caused it.
+// logIncarnationEnded logs why an incarnation of the worker ended, the evidence for the time of its end, and the runs
+// that ended with it, any of which may have caused it.
 func (a *Agent) logIncarnationEnded(e runner.IncarnationEnded) {
 	var runs, ages, states []string
 	for _, run := range e.Runs[:min(len(e.Runs), maxLoggedRuns)] {
@@ -103,14 +103,14 @@
 		ages = append(ages, run.Age.Round(time.Millisecond).String())
 		states = append(states, describeEndedRun(run))
 	}
-	known := e.Evidence
+	evidence := e.Evidence
 	_ = level.Info(a.logger).Log("msg", "worker ended", "life", e.Incarnation, "reason", e.Reason,
 		"crash", e.IsCrash, "count", len(e.Runs), "runs", strings.Join(runs, ","), "ages", strings.Join(ages, ","), "states", strings.Join(states, ","),
-		"closed_for", known.SinceClosed, "had_poll", known.HadLongPoll, "poll_took", known.PollTook, "round_trip", known.RoundTrip,
-		"answered_for", known.SinceAnswered)
+		"closed_for", evidence.SinceClosed, "had_poll", evidence.HadLongPoll, "poll_took", evidence.PollTook, "round_trip", evidence.RoundTrip,
+		"answered_for", evidence.SinceAnswered)
 }
 
-// describeEndedRun tells whether a run was running when the worker ended, or why that is not certain.
+// describeEndedRun returns whether a run was running when the worker ended, or why that is uncertain.
 func describeEndedRun(run runner.EndedRun) string {
 	switch {
 	case run.WasRunning:
@@ -124,7 +124,8 @@
 	}
 }
 
-// evacuationChanged logs and shows whether the worker's availability zone is evacuated. runs are those that go on to their end.
+// evacuationChanged logs and exports whether the worker's availability zone is evacuated. The field runs is the number
+// of runs that are left to finish.
 func (a *Agent) evacuationChanged(e runner.EvacuationChanged) {
 	if e.IsEvacuated {
 		a.metrics.Set(metric.ZonesEvacuated, 1)
@@ -135,16 +136,16 @@
 	_ = level.Info(a.logger).Log("msg", "zone taken back", "zone", e.Zone, "runs", e.Runs)
 }
 
-// workerEjected logs and shows that the worker gets no tasks but probes.
+// workerEjected logs and exports that the worker gets no tasks other than probes.
 func (a *Agent) workerEjected(e runner.WorkerEjected) {
 	a.metrics.Set(metric.IsEjected, 1)
 	a.metrics.Add(metric.Ejections, 1)
-	_ = level.Warn(a.logger).Log("msg", "worker ejected", "reason", e.Reason, "failure_rate", math.Round(hundred*e.FailureRate)/hundred,
+	_ = level.Warn(a.logger).Log("msg", "worker ejected", "reason", e.Reason, "failure_rate", math.Round(rateScale*e.FailureRate)/rateScale,
 		"kinds", strings.Join(e.Kinds, ","))
 }
 
-// hundred is used to round rates in the log to hundredths.
-const hundred = 100
+// rateScale rounds logged rates to hundredths.
+const rateScale = 100
 
 // probeEnded logs and counts a probe of the ejected worker.
 func (a *Agent) probeEnded(e runner.ProbeEnded) {
@@ -155,14 +156,14 @@
 	_ = level.Info(a.logger).Log("msg", "probe", "task", e.Task, "run", e.Run, "kind", e.Kind, "done", e.IsDone)
 }
 
-// workerRestored logs and shows that the worker is in service again.
+// workerRestored logs and exports that the worker is in service again.
 func (a *Agent) workerRestored(e runner.WorkerRestored) {
 	a.metrics.Set(metric.IsEjected, 0)
 	_ = level.Info(a.logger).Log("msg", "worker back in service", "after", e.After.Round(time.Millisecond))
 }
 
-// describe returns the name of a result, followed by its reason if it has one. The names are values of log fields and
-// labels of the metric start_time, and keep their form.
+// describe returns the name of a result, followed by its reason if it has one. The names are part of the log format and
+// labels of the metric start_time.
 func describe(result worker.Result) string {
 	switch r := result.(type) {
 	case worker.Fenced:
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// handle applies an event to the runner and carries out its effects.
+// handle passes an event to the runner and executes the resulting effects.
 func (a *Agent) handle(event runner.Event) {
 	a.logEvent(event)
 	for _, effect := range a.runner.Handle(clock.Now(), event) {
@@ -49,7 +49,7 @@
 	a.publish()
 }
 
-// apply carries out an effect. Calls to the worker run in goroutines of their own, so that none delays the event loop.
+// apply executes an effect. Calls to the worker run in their own goroutines so that they do not block the event loop.
 func (a *Agent) apply(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.CallStart:
@@ -85,31 +85,30 @@
 	}
 }
 
-// publish makes the runner's state visible to other goroutines.
+// publish copies the runner's state to where other goroutines and the metrics read it.
 func (a *Agent) publish() {
 	sessions, _, active := a.runner.Counts()
 	idle := a.runner.IsIdle()
 	if a.status.set(idle, sessions) {
 		a.metrics.Set(metric.Sessions, int64(sessions))
 	}
-	a.runs.countActive(active)
+	a.runs.setActive(active)
 	if idle {
-		a.runs.forgetStarts()
+		a.runs.clearStarts()
 	}
 	if record, ok := a.runner.Worker(); ok {
 		a.registration.setWorker(record)
 	}
 }
 
-// status is the part of the runner's state that other goroutines read. The zero value is that of an agent without
-// sessions that is not known to be idle.
+// status is the part of the runner's state that other goroutines read. The zero value has no sessions and is not idle.
 type status struct {
 	mu       sync.Mutex
 	idle     bool
 	sessions int
 }
 
-// set stores the state and reports whether the number of sessions has changed.
+// set stores the state and reports whether the number of sessions changed.
 func (s *status) set(idle bool, sessions int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,21 +118,21 @@
 	return changed
 }
 
-// isIdle reports whether no task is queued or may be on the worker.
+// isIdle reports whether no task is queued and none may be running on the worker.
 func (s *status) isIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.idle
 }
 
-// hasSessions reports whether an entry has a session.
+// hasSessions reports whether at least one entry has a session.
 func (s *status) hasSessions() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sessions > 0
 }
 
-// wait blocks until the signal arrives, and returns false if the context ends first.
+// wait blocks until the signal arrives. It returns false if the context is cancelled first.
 func wait[T any](ctx context.Context, signal <-chan T) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -12,16 +12,16 @@
 	"sailhead/internal/worker"
 )
 
-// runRecorder records the counts and times of runs. Its methods belong to the event loop, except startAnswered.
+// runRecorder records the counts and durations of runs. Only the event loop may call its methods, except startAnswered.
 type runRecorder struct {
 	metrics *metric.Set
-	// startTimes are the times of calls to start a run, by answer.
+	// startTimes are the durations of calls that start a run, by result.
 	startTimes *metric.Times
-	// runTimes are the times from a start to the end of the run, by outcome.
+	// runTimes are the durations from the start request to the end of the run, by outcome.
 	runTimes *metric.Times
-	// active is the number of tasks that may be on the worker, as last shown.
+	// active is the exported number of tasks that may be running on the worker.
 	active int
-	// startSent is when the latest start of each task was sent.
+	// startSent is the time of each task's latest start request.
 	startSent map[string]time.Time
 }
 
@@ -34,27 +34,27 @@
 	}
 }
 
-// started records that a start is being sent.
+// started records that a start request is being sent.
 func (r *runRecorder) started(task string) {
 	r.metrics.Add(metric.TasksStarted, 1)
 	r.startSent[task] = time.Now()
 }
 
-// countActive shows the number of tasks that may be on the worker.
-func (r *runRecorder) countActive(active int) {
+// setActive exports the number of tasks that may be running on the worker.
+func (r *runRecorder) setActive(active int) {
 	if active != r.active {
 		r.active = active
 		r.metrics.Set(metric.ActiveRuns, int64(active))
 	}
 }
 
-// startAnswered records the result of a call to start a run. It is safe for concurrent use.
+// startAnswered records the result and duration of a start request. It is safe for concurrent use.
 func (r *runRecorder) startAnswered(result worker.StartResult, took time.Duration) {
 	kind, _, _ := strings.Cut(describe(result), ":")
 	r.startTimes.Record(kind, took)
 }
 
-// updated records the end of a run. Other updates are ignored.
+// updated records the end of a run and ignores other updates.
 func (r *runRecorder) updated(update runner.Update) {
 	if !update.Outcome.IsEnd() {
 		return
@@ -67,8 +67,8 @@
 	delete(r.startSent, update.Name)
 }
 
-// forgetStarts drops the starts whose runs have ended without an update, as those of entries that left. It is called
-// while no run is active.
-func (r *runRecorder) forgetStarts() {
+// clearStarts drops start times whose runs ended without an update, such as runs of entries that left. It must only be
+// called while no run is active.
+func (r *runRecorder) clearStarts() {
 	clear(r.startSent)
 }
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -16,16 +16,16 @@
 	"sailhead/internal/worker"
 )
 
-// registerRetryInterval is the shortest time between two attempts to write the record; up to as much is added at random, so that the agents
-// do not all return at once to a store that has recovered.
+// registerRetryInterval is the shortest time between two attempts to write the record. Random jitter of up to the same
+// time is added, so that the agents do not all reach a recovered store at once.
 const registerRetryInterval = 300 * time.Millisecond
 
-// registration holds the worker that the agent's record in the store should name.
+// registration holds the worker that the agent's record in the store must contain.
 type registration struct {
 	mu sync.Mutex
-	// worker is nil until a worker is known. Its clock and sequence are zero.
+	// worker is nil until a worker is known. Its Clock and Sequence are zero.
 	worker *worker.Record
-	// changed has an element while worker may differ from what was written.
+	// changed has an element while worker may differ from the stored record.
 	changed chan struct{}
 }
 
@@ -33,7 +33,7 @@
 	return registration{changed: make(chan struct{}, 1)}
 }
 
-// setWorker sets the worker and wakes the registration if it differs from the previous one in more than its clock.
+// setWorker sets the worker, and wakes the goroutine that writes the record if anything but Clock and Sequence changed.
 func (r *registration) setWorker(record worker.Record) {
 	record.Sequence = 0
 	record.Clock = 0
@@ -46,12 +46,13 @@
 	select {
 	case r.changed <- struct{}{}:
 	default:
-		// A wake-up is pending already; it will read the worker that was just set.
+		// A wake-up is already pending; it will read the new worker.
 	}
 }
 
-// recall sets the worker that an earlier process registered, unless one is known. The record that names it is about to be written.
-func (r *registration) recall(record worker.Record) {
+// setStored sets the worker that a previous process registered, unless a worker is already known. It does not wake the
+// goroutine that writes the record, which is about to write it anyway.
+func (r *registration) setStored(record worker.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.worker == nil {
@@ -59,17 +60,17 @@
 	}
 }
 
-// latest returns the worker, or nil while none is known.
+// latest returns the worker, or nil if none is known.
 func (r *registration) latest() *worker.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.worker
 }
 
-// register writes the agent's record to the store, and again whenever the worker changes. First it reads the record of the
-// agent's earlier process: if that incarnation of the worker still answers, the agent need not wait for a heartbeat.
+// register writes the agent's record to the store now and whenever the worker changes. It first reads the record of the
+// previous agent process: if that incarnation of the worker still answers, the agent need not wait for a heartbeat.
 func (a *Agent) register() {
-	a.recallWorker()
+	a.loadStoredWorker()
 	for {
 		member := a.self
 		member.Worker = a.registration.latest()
@@ -82,47 +83,47 @@
 	}
 }
 
-// recallWorker passes the worker that the earlier process of the agent registered to the runner, if there is one.
-func (a *Agent) recallWorker() {
-	earlier, ok, err := a.store.Member(a.self.Name)
+// loadStoredWorker passes the worker that the previous agent process registered, if any, to the runner.
+func (a *Agent) loadStoredWorker() {
+	stored, ok, err := a.store.Member(a.self.Name)
 	if err != nil {
-		_ = level.Warn(a.logger).Log("msg", "unable to read the agent's earlier record", "err", err)
+		_ = level.Warn(a.logger).Log("msg", "unable to read the agent's stored record", "err", err)
 		return
 	}
-	if !ok || earlier.Worker == nil {
+	if !ok || stored.Worker == nil {
 		return
 	}
-	record := *earlier.Worker
-	// The clock was read long ago, and any heartbeat is newer than the record.
+	record := *stored.Worker
+	// The stored clock is out of date, and any heartbeat must count as newer than the record.
 	record.Clock = 0
 	record.Sequence = 0
-	a.registration.recall(record)
+	a.registration.setStored(record)
 	a.post(runner.StoredWorkerLoaded{Record: record})
 	_ = level.Info(a.logger).Log("msg", "worker recalled", "life", record.Incarnation())
 }
 
-// putRecord writes the record and retries until that succeeds. It returns false if the agent stops first. Only the first
-// failure is logged; the line of the success tells how many attempts and how long it took.
+// putRecord writes the record, retrying until it succeeds, and returns false if the agent stops first. Only the first
+// failure is logged; the success is logged with the number of attempts and the time taken.
 func (a *Agent) putRecord(member cluster.Member) bool {
 	began := time.Now()
-	for tries := 1; ; tries++ {
+	for attempt := 1; ; attempt++ {
 		err := a.store.PutMember(member)
 		if err == nil {
 			_ = level.Info(a.logger).Log("msg", "registered in the store", "worker", incarnationOf(member.Worker),
-				"tries", tries, "after", time.Since(began).Round(time.Millisecond))
+				"tries", attempt, "after", time.Since(began).Round(time.Millisecond))
 			return true
 		}
-		if tries == 1 {
+		if attempt == 1 {
 			_ = level.Warn(a.logger).Log("msg", "dependency lost", "dependency", "store", "err", err)
 		}
-		pause := registerRetryInterval + rand.N(registerRetryInterval)
-		if !wait(a.context, time.After(pause)) {
+		delay := registerRetryInterval + rand.N(registerRetryInterval)
+		if !wait(a.context, time.After(delay)) {
 			return false
 		}
 	}
 }
 
-// incarnationOf returns the worker's incarnation, or none for nil.
+// incarnationOf returns the worker's incarnation, or the zero value for nil.
 func incarnationOf(record *worker.Record) worker.Incarnation {
 	if record == nil {
 		return worker.Incarnation{}
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -15,16 +15,16 @@
 	"sailhead/internal/shares"
 )
 
-// shareRecorder shows how the worker was divided last. Use newShareRecorder.
+// shareRecorder exports the latest division of the worker between competitors as metrics. Use newShareRecorder.
 type shareRecorder struct {
-	latest *atomic.Pointer[[]shares.Share]
+	current *atomic.Pointer[[]shares.Share]
 }
 
 func newShareRecorder(metrics *metric.Set) shareRecorder {
-	recorder := shareRecorder{latest: new(atomic.Pointer[[]shares.Share])}
-	recorder.latest.Store(new([]shares.Share))
+	recorder := shareRecorder{current: new(atomic.Pointer[[]shares.Share])}
+	recorder.current.Store(new([]shares.Share))
 	show := func(name string, value func(shares.Share) float64) {
-		metrics.Show(name, func() any { return byCompetitor(*recorder.latest.Load(), value) })
+		metrics.Show(name, func() any { return byCompetitor(*recorder.current.Load(), value) })
 	}
 	show(metric.SharesUsed, func(s shares.Share) float64 { return s.Recent })
 	show(metric.SharesUsual, func(s shares.Share) float64 { return s.Usual })
@@ -32,27 +32,27 @@
 	return recorder
 }
 
-// byCompetitor returns a value of each share by the name of its competitor.
+// byCompetitor returns one value of each share, by the competitor's name.
 func byCompetitor(divided []shares.Share, value func(shares.Share) float64) map[string]float64 {
 	values := make(map[string]float64, len(divided))
 	for _, share := range divided {
-		values[nameOf(share.Competitor)] = value(share)
+		values[competitorName(share.Competitor)] = value(share)
 	}
 	return values
 }
 
-// nameOf returns the name of a competitor in logs and metrics.
-func nameOf(c shares.Competitor) string {
+// competitorName returns a competitor's name as used in logs and metrics.
+func competitorName(c shares.Competitor) string {
 	return c.Zone + "/" + c.Kind
 }
 
-// sharesDivided logs and shows how the worker is divided. The log names the competitors that wait.
+// sharesDivided logs and exports how the worker is divided. The log lists only the competitors that are waiting.
 func (a *Agent) sharesDivided(e runner.SharesDivided) {
-	a.shares.latest.Store(&e.Shares)
+	a.shares.current.Store(&e.Shares)
 	var waiting strings.Builder
 	for _, share := range e.Shares {
 		if share.IsWaiting {
-			fmt.Fprintf(&waiting, "[%s used=%.1f usual=%.1f share=%.1f]", nameOf(share.Competitor), share.Recent, share.Usual, share.Entitled)
+			fmt.Fprintf(&waiting, "[%s used=%.1f usual=%.1f share=%.1f]", competitorName(share.Competitor), share.Recent, share.Usual, share.Entitled)
 		}
 	}
 	_ = level.Info(a.logger).Log("msg", "shares", "waiting", waiting.String())
