--- a/internal/entry/accepted.go
+++ b/internal/entry/accepted.go
@@ -10,18 +10,18 @@
 	"github.com/go-kit/log/level"
 )
 
-// maxAcceptedIDs is how many ids one line of accepted jobs holds at most: with the ids of the users' callers, 16 characters each, a line
-// stays below 600 bytes.
+// maxAcceptedIDs is the largest number of job ids in one log line. Ids have 16 characters, so a line stays below 600
+// bytes.
 const maxAcceptedIDs = 32
 
-// acceptedJobs collects the ids of accepted jobs for the log. Without them a job that is lost with its entry would have no
-// line anywhere. Ids are logged together at each tick, so there are at most as many lines as ticks, and one more for each
+// acceptedJobs batches the ids of accepted jobs for the log. Without them, a job that is lost with its entry would leave
+// no trace in any log. Ids are logged together at each tick, which limits the lines to one per tick plus one per
 // maxAcceptedIDs jobs. The zero value is ready for use.
 type acceptedJobs struct {
 	ids []string
 }
 
-// add adds the id of a job, and logs the ids if a line is full.
+// add adds the id of a job, and logs the collected ids if there are enough for a full line.
 func (a *acceptedJobs) add(logger log.Logger, id string) {
 	a.ids = append(a.ids, id)
 	if len(a.ids) >= maxAcceptedIDs {
@@ -29,7 +29,7 @@
 	}
 }
 
-// flush logs the ids that were added since the last line, if there are any.
+// flush logs the ids added since the last line, if any.
 func (a *acceptedJobs) flush(logger log.Logger) {
 	if len(a.ids) == 0 {
 		return
--- a/internal/entry/accepted_test.go
+++ b/internal/entry/accepted_test.go
@@ -14,7 +14,8 @@
 	"sailhead/internal/timeline"
 )
 
-// TestEveryAcceptedJobIsInTheLog checks that each id is logged once, in bounded lines that the timeline finds by the job.
+// TestEveryAcceptedJobIsInTheLog checks that each id is logged once, in lines of bounded length in which the timeline
+// command finds the job.
 func TestEveryAcceptedJobIsInTheLog(t *testing.T) {
 	var out bytes.Buffer
 	logger := log.With(log.NewLogfmtLogger(&out), "time", "2026-12-02T12:00:00Z", "process", "entry-1")
--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -16,40 +16,41 @@
 )
 
 const (
-	// minRedialDelay is the pause after a session ended or could not be opened. It doubles with each failure up to maxRedialDelay.
+	// minRedialDelay is the delay before redialing after a session ended or could not be opened. It doubles with each
+	// failure up to maxRedialDelay.
 	minRedialDelay = 100 * time.Millisecond
 	maxRedialDelay = 800 * time.Millisecond
-	// forgetAfter is how long an agent cannot be reached before its record is removed: its VM has been replaced. An agent that was only cut
-	// off announces itself again.
-	forgetAfter = 10 * time.Minute
+	// recordExpiry is how long an agent must be unreachable before its record is removed, as that of a replaced VM. An agent
+	// that was only disconnected announces itself again.
+	recordExpiry = 10 * time.Minute
 )
 
-// dial is the goroutine that keeps the session with one agent.
-type dial struct {
+// agentDialer controls the goroutine that keeps a session with one agent open.
+type agentDialer struct {
 	agent cluster.Member
 	stop  context.CancelFunc
-	// unwantedSince is when the agent was left out of the subset, zero while it is in it.
-	unwantedSince time.Time
+	// deselectedSince is when the agent left the subset; zero while it is in the subset.
+	deselectedSince time.Time
 }
 
-// dials are the goroutines of all sessions by the name of the agent. Only the duty connect uses them.
-type dials map[string]*dial
+// agentDialers holds the dialers by agent name. Only the connect goroutine uses it.
+type agentDialers map[string]*agentDialer
 
-// connect runs a goroutine for each agent in the subset (package subset), which keeps a session with it.
+// connect runs one goroutine per agent in the subset (package subset), which keeps a session with that agent open.
 func (e *Entry) connect() {
 	if !e.awaitMembers() {
 		return
 	}
-	dials := make(dials)
+	dials := make(agentDialers)
 	ticker := time.NewTicker(releaseInterval)
 	defer ticker.Stop()
 	for {
 		changed := e.directory.Changed()
 		agents := e.knownAgents()
-		wanted := e.chooseAgents(agents)
+		selected := e.chooseAgents(agents)
 		e.stopOutdated(dials, agents)
-		e.dialMissing(dials, wanted)
-		e.releaseUnwanted(dials, wanted)
+		e.dialMissing(dials, selected)
+		e.releaseDeselected(dials, selected)
 		select {
 		case <-e.context.Done():
 			return
@@ -71,9 +72,9 @@
 	return agents
 }
 
-// stopOutdated ends the sessions with agents that are gone, or have moved or restarted. A newer process is dialed at
-// once, as its predecessor's session is over.
-func (e *Entry) stopOutdated(dials dials, agents map[string]cluster.Member) {
+// stopOutdated ends the sessions with agents that are gone, have moved or have restarted. A new process is dialed at
+// once, since the session with the previous one is over.
+func (e *Entry) stopOutdated(dials agentDialers, agents map[string]cluster.Member) {
 	for name, d := range dials {
 		if e.isOutdated(d.agent, agents[name]) {
 			d.stop()
@@ -82,21 +83,21 @@
 	}
 }
 
-// dialMissing starts a goroutine for each wanted agent that has none.
-func (e *Entry) dialMissing(dials dials, wanted map[string]cluster.Member) {
-	for name, agent := range wanted {
+// dialMissing starts a goroutine for each selected agent that has none.
+func (e *Entry) dialMissing(dials agentDialers, selected map[string]cluster.Member) {
+	for name, agent := range selected {
 		if _, ok := dials[name]; ok {
 			continue
 		}
 		ctx, stop := context.WithCancel(e.context)
-		dials[name] = &dial{agent: agent, stop: stop}
-		e.duties.Go(func() { e.keepSession(ctx, agent) })
+		dials[name] = &agentDialer{agent: agent, stop: stop}
+		e.goroutines.Go(func() { e.keepSession(ctx, agent) })
 	}
 }
 
-// isOutdated reports whether an agent has to be dialed again because of a later record. The record of a restarted agent
-// may come after the entry has reached the new process at the same address: that session is kept, since its tasks
-// would be lost with it.
+// isOutdated reports whether an agent must be redialed because its record changed. The record of a restarted agent may
+// arrive after the entry has already connected to the new process at the same address. That session is kept, because
+// closing it would lose its tasks.
 func (e *Entry) isOutdated(dialed, current cluster.Member) bool {
 	switch {
 	case current.Address != dialed.Address:
@@ -108,25 +109,25 @@
 	return !ok || s.incarnation.Load() != current.Incarnation
 }
 
-// keepSession opens a session with an agent again whenever it ends, until the context ends or the agent was not reached
-// for forgetAfter.
+// keepSession opens a session with an agent and reopens it whenever it ends, until the context is cancelled or the agent
+// was unreachable for recordExpiry.
 func (e *Entry) keepSession(ctx context.Context, agent cluster.Member) {
 	delay := minRedialDelay
 	reached := clock.Now()
-	defer e.choice.setLost(agent.Name, false)
+	defer e.choice.setUnreachable(agent.Name, false)
 	for ctx.Err() == nil {
 		conn, err := session.Dial(ctx, agent.Address, session.Entry{Name: e.self.Name, Zone: e.self.Zone}, e.traffic)
 		if err == nil {
 			delay = minRedialDelay
-			e.choice.setLost(agent.Name, false)
+			e.choice.setUnreachable(agent.Name, false)
 			err = e.serveSession(ctx, agent, conn)
 			reached = clock.Now()
 		}
-		if clock.Since(reached) > lostAfter {
-			e.choice.setLost(agent.Name, true)
+		if clock.Since(reached) > unreachableAfter {
+			e.choice.setUnreachable(agent.Name, true)
 		}
-		if clock.Since(reached) > forgetAfter {
-			e.forgetAgent(agent)
+		if clock.Since(reached) > recordExpiry {
+			e.removeAgent(agent)
 			return
 		}
 		_ = level.Debug(e.logger).Log("msg", "no session", "agent", agent.Name, "err", err)
@@ -138,9 +139,9 @@
 	}
 }
 
-// forgetAgent removes the record of an agent that was not reached for forgetAfter.
-func (e *Entry) forgetAgent(agent cluster.Member) {
-	_ = level.Info(e.logger).Log("msg", "agent given up", "agent", agent.Name, "address", agent.Address, "not_reached_for", forgetAfter)
+// removeAgent removes the record of an agent that was unreachable for recordExpiry.
+func (e *Entry) removeAgent(agent cluster.Member) {
+	_ = level.Info(e.logger).Log("msg", "removing unreachable agent", "agent", agent.Name, "address", agent.Address, "not_reached_for", recordExpiry)
 	if err := e.store.RemoveMember(agent); err != nil {
 		_ = level.Warn(e.logger).Log("msg", "unable to remove the agent's record", "agent", agent.Name, "err", err)
 	}
--- a/internal/entry/choice.go
+++ b/internal/entry/choice.go
@@ -20,59 +20,61 @@
 )
 
 const (
-	// lostAfter is how long an agent cannot be reached before another one takes its place in the subset: longer than a restart of an agent
-	// takes, and some attempts to dial it.
-	lostAfter = time.Second
-	// releaseAfter is how long an agent has been left out of the subset before its session is closed. Agents that are lost and
-	// come back within this time cost no change of sessions at others.
+	// unreachableAfter is how long an agent must be unreachable before another one takes its place in the subset. It is
+	// longer than a restart of an agent and a few attempts to dial it.
+	unreachableAfter = time.Second
+	// releaseAfter is how long an agent must be out of the subset before its session is closed. If an unreachable agent
+	// returns within this time, no sessions with other agents change.
 	releaseAfter = 5 * time.Second
-	// releaseInterval is the time between two attempts to close the sessions that are not needed.
+	// releaseInterval is the time between two attempts to close sessions that are no longer needed.
 	releaseInterval = time.Second
-	// replacedPerSecond is the part of the sessions, one in so many, that are replaced in a second by those with agents that are chosen in
-	// their place. The sessions of all entries would change at once otherwise when many members come.
-	replacedPerSecond = 8
-	// membersDelay is how long an entry that starts waits for the store to tell the members before it chooses by those that it has heard of.
-	membersDelay = 300 * time.Millisecond
-	// youngFor is how long an entry may know few of the other entries, and maxYoungAgents how many agents it chooses at most in this time: by the
-	// entries that it knows it would need many more sessions than in the end.
-	youngFor       = 3 * time.Second
-	maxYoungAgents = 2 * subset.MinAgents
-	// idleAgentsRing is how many agents may wait for their sessions to be closed. What does not fit is tried again after
-	// releaseInterval.
-	idleAgentsRing = 64
+	// replacementDivisor limits how fast the subset changes: one in this many sessions may be replaced per second.
+	// Otherwise the sessions of all entries would change at once when many members join.
+	replacementDivisor = 8
+	// membersTimeout is how long a starting entry waits for the members in the store before it chooses agents by the
+	// members it has learned of otherwise.
+	membersTimeout = 300 * time.Millisecond
+	// startupPeriod is how long a new entry may know only few of the other entries. The fewer entries it knows, the more
+	// agents it would choose, so maxStartupAgents limits their number during this period.
+	startupPeriod    = 3 * time.Second
+	maxStartupAgents = 2 * subset.MinAgents
+	// idleAgentsQueueSize is how many agents may wait for their sessions to be closed. Agents that do not fit are retried
+	// after releaseInterval.
+	idleAgentsQueueSize = 64
 )
 
-// agentChoice holds what the choice of the agents depends on beside the directory. It is safe for concurrent use.
+// agentChoice holds the state, other than the directory, from which agents are chosen. It is safe for concurrent use.
 type agentChoice struct {
 	mu sync.Mutex
-	// lost are the agents that could not be reached for lostAfter.
-	lost map[string]bool
-	// needsAll is set once there may be durable jobs: the end of a durable task is reported to the entries in session, and
-	// whichever entry takes over its shard must get it.
+	// unreachable holds the agents that have been unreachable for unreachableAfter.
+	unreachable map[string]bool
+	// needsAll is set once there may be durable jobs. Agents report the end of a durable task to the entries that have a
+	// session, and any entry that takes over the task's shard must receive it.
 	needsAll bool
-	// began is when the entry started, kept are the agents that were chosen last, and replaced is when some of them were last replaced.
-	began    time.Time
-	kept     []string
-	replaced time.Time
-	// changed has an element while the agents may have to be chosen again.
+	// started is when the entry started, previous are the agents chosen by the previous call, and lastReplaced is when
+	// sessions were last replaced.
+	started      time.Time
+	previous     []string
+	lastReplaced time.Time
+	// changed has an element while the agents must be chosen again.
 	changed chan struct{}
 }
 
 func newAgentChoice(now time.Time) *agentChoice {
-	return &agentChoice{lost: make(map[string]bool), began: now, replaced: now, changed: make(chan struct{}, 1)}
+	return &agentChoice{unreachable: make(map[string]bool), started: now, lastReplaced: now, changed: make(chan struct{}, 1)}
 }
 
-// setLost records whether an agent can be reached.
-func (c *agentChoice) setLost(agent string, isLost bool) {
+// setUnreachable records whether an agent is unreachable.
+func (c *agentChoice) setUnreachable(agent string, isUnreachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lost[agent] == isLost {
+	if c.unreachable[agent] == isUnreachable {
 		return
 	}
-	if isLost {
-		c.lost[agent] = true
+	if isUnreachable {
+		c.unreachable[agent] = true
 	} else {
-		delete(c.lost, agent)
+		delete(c.unreachable, agent)
 	}
 	c.notify()
 }
@@ -87,86 +89,88 @@
 	}
 }
 
-// notify wakes the duty connect.
+// notify wakes the connect goroutine.
 func (c *agentChoice) notify() {
 	select {
 	case c.changed <- struct{}{}:
 	default:
-		// A wake-up is pending already.
+		// A wake-up is already pending.
 	}
 }
 
-// choose returns the names of the agents to keep sessions with, of those given, and how many of them get no tasks: they are lost,
-// or in an evacuated availability zone. Others are chosen beside these, whose sessions stay, as runs may go on there. isChanged
-// reports whether the number of the chosen differs from the previous choice.
-func (c *agentChoice) choose(now time.Time, entry string, agents map[string]cluster.Member, evacuations evacuation.State, entries int) (chosen []string, lost int, isChanged bool) {
+// choose returns the names of the agents to keep sessions with, and how many of them are unavailable, that is,
+// unreachable or in an evacuated availability zone. Unavailable agents get no tasks. Their sessions stay open, since runs
+// may continue there, and other agents are chosen in addition. isChanged reports whether the number of chosen agents
+// differs from that of the previous call.
+func (c *agentChoice) choose(now time.Time, entry string, agents map[string]cluster.Member, evacuations evacuation.State, entries int) (chosen []string, unavailable int, isChanged bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	size := c.size(now, len(agents), entries)
-	isLost := func(agent string) bool { return c.lost[agent] || evacuations.Has(agents[agent].Zone) }
-	best := subset.Choose(entry, slices.Collect(maps.Keys(agents)), size, isLost)
-	kept := slices.DeleteFunc(c.kept, func(agent string) bool { return agents[agent].Name == "" })
-	chosen = subset.Transition(kept, best, size, c.replaceable(now, len(kept)), isLost)
+	isUnavailable := func(agent string) bool { return c.unreachable[agent] || evacuations.Has(agents[agent].Zone) }
+	best := subset.Choose(entry, slices.Collect(maps.Keys(agents)), size, isUnavailable)
+	registered := slices.DeleteFunc(c.previous, func(agent string) bool { return agents[agent].Name == "" })
+	chosen = subset.Transition(registered, best, size, c.replaceable(now, len(registered)), isUnavailable)
 	for _, agent := range chosen {
-		if isLost(agent) {
-			lost++
+		if isUnavailable(agent) {
+			unavailable++
 		}
 	}
-	isChanged = len(c.kept) != len(chosen)
-	c.kept = chosen
-	return slices.Clone(chosen), lost, isChanged
+	isChanged = len(c.previous) != len(chosen)
+	c.previous = chosen
+	return slices.Clone(chosen), unavailable, isChanged
 }
 
-// size returns how many agents to keep sessions with. The caller holds mu.
+// size returns the number of agents to keep sessions with. The caller holds mu.
 func (c *agentChoice) size(now time.Time, agents, entries int) int {
 	size := subset.Size(agents, entries)
 	switch {
 	case c.needsAll:
 		return agents
-	case now.Sub(c.began) < youngFor:
-		return min(size, maxYoungAgents)
+	case now.Sub(c.started) < startupPeriod:
+		return min(size, maxStartupAgents)
 	default:
 		return size
 	}
 }
 
-// replaceable returns how many of the sessions may be replaced now. The caller holds mu.
+// replaceable returns how many sessions may be replaced now. The caller holds mu.
 func (c *agentChoice) replaceable(now time.Time, sessions int) int {
-	count := int(now.Sub(c.replaced).Seconds() * float64(sessions) / replacedPerSecond)
+	count := int(now.Sub(c.lastReplaced).Seconds() * float64(sessions) / replacementDivisor)
 	if count > 0 {
-		c.replaced = now
+		c.lastReplaced = now
 	}
 	return count
 }
 
-// awaitMembers waits until the store has told the members, or for membersDelay. It returns false if the process ends meanwhile.
+// awaitMembers waits until the members have been read from the store, for at most membersTimeout. It returns false if
+// the entry stops meanwhile.
 func (e *Entry) awaitMembers() bool {
 	select {
 	case <-e.context.Done():
 		return false
 	case <-e.membersRead:
-	case <-time.After(membersDelay):
+	case <-time.After(membersTimeout):
 	}
 	return true
 }
 
-// chooseAgents returns the agents with which the entry keeps sessions, of those that are registered.
+// chooseAgents returns the registered agents with which the entry keeps sessions.
 func (e *Entry) chooseAgents(agents map[string]cluster.Member) map[string]cluster.Member {
 	entries := len(e.directory.Members(cluster.RoleEntry))
-	chosen, lost, isChanged := e.choice.choose(clock.Now(), e.self.Name, agents, e.directory.Evacuations(), entries)
-	e.tellRegistered(slices.Sorted(maps.Keys(agents)), len(chosen))
-	wanted := make(map[string]cluster.Member, len(chosen))
+	chosen, unavailable, isChanged := e.choice.choose(clock.Now(), e.self.Name, agents, e.directory.Evacuations(), entries)
+	e.reportRegistered(slices.Sorted(maps.Keys(agents)), len(chosen))
+	selected := make(map[string]cluster.Member, len(chosen))
 	for _, name := range chosen {
-		wanted[name] = agents[name]
+		selected[name] = agents[name]
 	}
 	if isChanged {
-		_ = level.Info(e.logger).Log("msg", "agents chosen", "agents", len(chosen), "of", len(agents), "lost", lost, "entries", entries)
+		_ = level.Info(e.logger).Log("msg", "agents chosen", "agents", len(chosen), "of", len(agents), "lost", unavailable, "entries", entries)
 	}
-	return wanted
+	return selected
 }
 
-// tellRegistered tells the dispatcher which agents are registered and how many of them are chosen, if that has changed.
-func (e *Entry) tellRegistered(names []string, chosen int) {
+// reportRegistered reports the registered agents and the number of chosen ones to the dispatcher if they have changed.
+func (e *Entry) reportRegistered(names []string, chosen int) {
 	isSame := slices.Equal(names, e.registered) && e.metrics.Value(metric.AgentsChosen) == int64(chosen)
 	if isSame {
 		return
@@ -181,26 +185,27 @@
 	e.post(dispatch.AgentsRegistered{Agents: agents, Chosen: chosen})
 }
 
-// releaseUnwanted asks the dispatcher to close the sessions with agents that were left out of the subset for releaseAfter, and
-// takes that back for those that are in it again.
-func (e *Entry) releaseUnwanted(dials dials, wanted map[string]cluster.Member) {
+// releaseDeselected asks the dispatcher to close the sessions with agents that have been out of the subset for
+// releaseAfter, and cancels that for agents that are in the subset again.
+func (e *Entry) releaseDeselected(dials agentDialers, selected map[string]cluster.Member) {
 	for name, d := range dials {
-		_, isWanted := wanted[name]
+		_, isSelected := selected[name]
 		switch {
-		case isWanted && !d.unwantedSince.IsZero():
-			d.unwantedSince = time.Time{}
+		case isSelected && !d.deselectedSince.IsZero():
+			d.deselectedSince = time.Time{}
 			e.post(dispatch.AgentSelected{Agent: dispatch.AgentID(name)})
-		case isWanted:
-		case d.unwantedSince.IsZero():
-			d.unwantedSince = clock.Now()
-		case clock.Since(d.unwantedSince) >= releaseAfter:
+		case isSelected:
+		case d.deselectedSince.IsZero():
+			d.deselectedSince = clock.Now()
+		case clock.Since(d.deselectedSince) >= releaseAfter:
 			e.release(dials, name)
 		}
 	}
 }
 
-// release asks the dispatcher to close the session with an agent. Without a session the goroutine that dials it ends at once.
-func (e *Entry) release(dials dials, name string) {
+// release asks the dispatcher to close the session with an agent. If there is no session, it stops the agent's dialer at
+// once.
+func (e *Entry) release(dials agentDialers, name string) {
 	id := dispatch.AgentID(name)
 	if _, isOpen := e.sessions.get(id); isOpen {
 		e.post(dispatch.AgentDeselected{Agent: id})
@@ -209,21 +214,21 @@
 	dials.close(id)
 }
 
-// agentIdle passes an agent on to the duty connect, which closes the session. It does not block.
+// agentIdle passes an agent without runs to the connect goroutine, which closes its session. It does not block.
 func (e *Entry) agentIdle(id dispatch.AgentID) {
 	select {
 	case e.idleAgents <- id:
 	default:
-		// The duty asks again after releaseInterval.
+		// The connect goroutine asks again after releaseInterval.
 	}
 }
 
-// close ends the goroutine that keeps the session with an agent, and the session, unless the agent is wanted again.
-func (d dials) close(id dispatch.AgentID) {
-	one, ok := d[string(id)]
-	if !ok || one.unwantedSince.IsZero() || clock.Since(one.unwantedSince) < releaseAfter {
+// close stops an agent's dialer and closes its session, unless the agent has been selected again.
+func (d agentDialers) close(id dispatch.AgentID) {
+	dialer, ok := d[string(id)]
+	if !ok || dialer.deselectedSince.IsZero() || clock.Since(dialer.deselectedSince) < releaseAfter {
 		return
 	}
-	one.stop()
+	dialer.stop()
 	delete(d, string(id))
 }
--- a/internal/entry/choice_test.go
+++ b/internal/entry/choice_test.go
@@ -16,7 +16,7 @@
 	"sailhead/internal/subset"
 )
 
-// agentMembers returns so many agents by name, in three availability zones in turn.
+// agentMembers returns the given number of agents by name, spread evenly over three availability zones.
 func agentMembers(count int) map[string]cluster.Member {
 	agents := make(map[string]cluster.Member)
 	for i := range count {
@@ -26,44 +26,44 @@
 	return agents
 }
 
-func TestALostAgentIsReplacedUntilItComesBack(t *testing.T) {
+func TestAnUnreachableAgentIsReplacedUntilItReturns(t *testing.T) {
 	c := newAgentChoice(clock.Now())
 	agents := agentMembers(240)
 	before, _, _ := c.choose(clock.Now(), "entry", agents, evacuation.State{}, 55)
 	if len(before) != subset.MinAgents {
 		t.Fatalf("%d agents, want %d", len(before), subset.MinAgents)
 	}
-	c.setLost(before[3], true)
+	c.setUnreachable(before[3], true)
 	during, lost, isChanged := c.choose(clock.Now(), "entry", agents, evacuation.State{}, 55)
 	if len(during) != subset.MinAgents+1 || lost != 1 || !isChanged || !slices.Contains(during, before[3]) {
-		t.Errorf("with one lost: %d agents, %d lost, changed %t", len(during), lost, isChanged)
+		t.Errorf("with one agent unreachable: %d agents, %d unavailable, changed %t", len(during), lost, isChanged)
 	}
-	c.setLost(before[3], false)
+	c.setUnreachable(before[3], false)
 	if after, _, _ := c.choose(clock.Now().Add(time.Second), "entry", agents, evacuation.State{}, 55); !slices.Equal(after, before) {
-		t.Error("the subset differs from the one before the loss")
+		t.Error("the subset differs from the one before the agent became unreachable")
 	}
 	if len(c.changed) != 1 {
-		t.Error("the duty connect was not woken")
+		t.Error("the connect goroutine was not woken")
 	}
 }
 
-func TestOthersAreChosenBesideTheAgentsOfAnEvacuatedZone(t *testing.T) {
+func TestAgentsOfOtherZonesAreAddedForThoseOfAnEvacuatedZone(t *testing.T) {
 	c := newAgentChoice(clock.Now())
 	agents := agentMembers(240)
 	before, _, _ := c.choose(clock.Now(), "entry", agents, evacuation.State{}, 55)
 	state := evacuation.New(3, []evacuation.Change{{Zone: "a", Revision: 2, IsEvacuated: true}})
-	during, without, isChanged := c.choose(clock.Now(), "entry", agents, state, 55)
-	if without == 0 || len(during) != len(before)+without || !isChanged {
-		t.Errorf("%d agents, %d of them in the evacuated zone, changed: %t; want %d beside those", len(during), without, isChanged, len(before))
+	during, unavailable, isChanged := c.choose(clock.Now(), "entry", agents, state, 55)
+	if unavailable == 0 || len(during) != len(before)+unavailable || !isChanged {
+		t.Errorf("%d agents, %d of them in the evacuated zone, changed: %t; want %d in other zones", len(during), unavailable, isChanged, len(before))
 	}
 	for _, agent := range before {
 		if !slices.Contains(during, agent) {
-			t.Errorf("%s is left out, although its runs go on", agent)
+			t.Errorf("%s is not chosen, although its runs continue", agent)
 		}
 	}
 }
 
-// An end of a durable task reaches the entries in session only, and any entry may have to take over its shard.
+// Agents report the end of a durable task only to entries with a session, and any entry may take over the task's shard.
 func TestDurableJobsNeedSessionsWithAllAgents(t *testing.T) {
 	c := newAgentChoice(clock.Now())
 	c.requireAll()
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestASessionIsClosedOnlyAfterItsRunsHaveEnded follows the release of one agent.
+// The session with a deselected agent must stay open for releaseAfter and until the dispatcher has no runs there.
 func TestASessionIsClosedOnlyAfterItsRunsHaveEnded(t *testing.T) {
 	e := &Entry{
 		context: t.Context(), sessions: newSessionTable(), events: make(chan dispatch.Event, 4), idleAgents: make(chan dispatch.AgentID, 1),
@@ -80,17 +80,17 @@
 	}
 	e.sessions.add(&agentSession{id: "agent-1"})
 	isStopped := false
-	one := &dial{stop: func() { isStopped = true }}
-	all := dials{"agent-1": one}
+	dialer := &agentDialer{stop: func() { isStopped = true }}
+	all := agentDialers{"agent-1": dialer}
 
-	e.releaseUnwanted(all, nil)
-	if one.unwantedSince.IsZero() || len(e.events) != 0 {
-		t.Fatal("an agent that was just left out must stay for releaseAfter")
+	e.releaseDeselected(all, nil)
+	if dialer.deselectedSince.IsZero() || len(e.events) != 0 {
+		t.Fatal("a deselected agent must keep its session for releaseAfter")
 	}
-	one.unwantedSince = clock.Now().Add(-2 * releaseAfter)
-	e.releaseUnwanted(all, nil)
+	dialer.deselectedSince = clock.Now().Add(-2 * releaseAfter)
+	e.releaseDeselected(all, nil)
 	if event := <-e.events; event != (dispatch.AgentDeselected{Agent: "agent-1"}) || isStopped {
-		t.Fatalf("event %v, stopped %t: the dispatcher has to be asked first", event, isStopped)
+		t.Fatalf("event %v, stopped %t: the dispatcher must be asked first", event, isStopped)
 	}
 	e.agentIdle("agent-1")
 	all.close(<-e.idleAgents)
@@ -99,13 +99,13 @@
 	}
 }
 
-// TestAnAgentThatIsWantedAgainKeepsItsSession plays an answer of the dispatcher that comes after the agent was chosen again.
-func TestAnAgentThatIsWantedAgainKeepsItsSession(t *testing.T) {
+// The dispatcher's answer to a deselection may arrive after the agent has been selected again.
+func TestAnAgentThatIsSelectedAgainKeepsItsSession(t *testing.T) {
 	e := &Entry{context: t.Context(), sessions: newSessionTable(), events: make(chan dispatch.Event, 4), choice: newAgentChoice(clock.Now())}
 	isStopped := false
-	one := &dial{stop: func() { isStopped = true }, unwantedSince: clock.Now().Add(-2 * releaseAfter)}
-	all := dials{"agent-1": one}
-	e.releaseUnwanted(all, map[string]cluster.Member{"agent-1": {}})
+	dialer := &agentDialer{stop: func() { isStopped = true }, deselectedSince: clock.Now().Add(-2 * releaseAfter)}
+	all := agentDialers{"agent-1": dialer}
+	e.releaseDeselected(all, map[string]cluster.Member{"agent-1": {}})
 	if event := <-e.events; event != (dispatch.AgentSelected{Agent: "agent-1"}) {
 		t.Errorf("event %v", event)
 	}
--- a/internal/entry/decider.go
+++ b/internal/entry/decider.go
@@ -10,17 +10,17 @@
 	"sailhead/internal/durable"
 )
 
-// effect is one action that the dispatcher or the coordinator asks for. Exactly one field is set.
+// effect is an action requested by the dispatcher or the coordinator. Exactly one field is set.
 type effect struct {
 	dispatch dispatch.Effect
 	durable  durable.Effect
 }
 
-// decider runs the dispatcher and the coordinator as one state machine: what one of them has for the other is handled
-// here, every other effect is performed in the order in which it was emitted. It is not safe for concurrent use.
+// decider runs the dispatcher and the coordinator as one state machine. It routes effects of one that are events for the
+// other, and performs all other effects in the order in which they were emitted. It is not safe for concurrent use.
 //
-// The order matters. If a shard is lost while the effects of a batch are being performed, the stop of a run must not
-// overtake its start: the agent would ignore the stop and then begin the run.
+// The order matters: if a shard is lost while the effects of a batch are performed, the stop of a run must not overtake
+// its start, because the agent would ignore the stop and then start the run.
 type decider struct {
 	dispatcher  *dispatch.Dispatcher
 	coordinator *durable.Coordinator
@@ -29,21 +29,20 @@
 	queue       []effect
 }
 
-// handleDispatch applies events of callers and agents. Events that came together are best handled together: each call
-// plans placements once.
+// handleDispatch passes events to the dispatcher. Each call plans placements once, so callers should batch events.
 func (d *decider) handleDispatch(events ...dispatch.Event) {
 	d.addDispatch(d.dispatcher.Handle(d.now(), events...))
 	d.drain()
 }
 
-// handleDurable applies an event that concerns the durable jobs.
+// handleDurable passes an event to the coordinator.
 func (d *decider) handleDurable(event durable.Event) {
 	d.addDurable(d.coordinator.Handle(d.now(), event))
 	d.drain()
 }
 
-// expire releases the shards at once if their lease may have run out, as after a pause of the process. It comes before
-// every other event, so that a process that was frozen acts on nothing that it may no longer own.
+// expire releases the shards if their lease may have expired, for example after the process was suspended. It must be
+// called before handling any other event, so that a resumed process does not act on shards it may no longer own.
 func (d *decider) expire() {
 	d.addDurable(d.coordinator.Expire(d.now()))
 	d.drain()
@@ -61,7 +60,7 @@
 	}
 }
 
-// drain performs the queued effects and those that they lead to, which are queued behind them.
+// drain performs the queued effects, and the effects that these cause, which are appended to the queue.
 func (d *decider) drain() {
 	for i := 0; i < len(d.queue); i++ {
 		d.apply(d.queue[i])
@@ -70,7 +69,7 @@
 	d.queue = d.queue[:0]
 }
 
-// apply hands an effect of one state machine to the other, or performs it.
+// apply routes an effect to the other state machine, or performs it.
 func (d *decider) apply(next effect) {
 	switch e := next.dispatch.(type) {
 	case dispatch.RecordEnd:
--- a/internal/entry/decider_test.go
+++ b/internal/entry/decider_test.go
@@ -20,8 +20,7 @@
 	testAgent = dispatch.AgentID("agent-1")
 )
 
-// deciderTest answers the calls of a decider's coordinator as a store does that always succeeds, and records all
-// other effects.
+// deciderTest records all effects of a decider, and answers the coordinator's store calls like a store that never fails.
 type deciderTest struct {
 	decider   *decider
 	now       time.Time
@@ -56,7 +55,7 @@
 	}
 }
 
-// settle hands the answers of the store to the coordinator and lets time pass until nothing is left to answer.
+// settle advances time and passes the store's answers to the coordinator until none is outstanding.
 func (d *deciderTest) settle() {
 	for range 20 {
 		d.now = d.now.Add(20 * time.Millisecond)
@@ -69,7 +68,7 @@
 	}
 }
 
-// indexOf returns where the first effect that matches was performed, or -1.
+// indexOf returns the index of the first performed effect that matches, or -1.
 func (d *deciderTest) indexOf(matches func(dispatch.Effect) bool) int {
 	for i, e := range d.performed {
 		if matches(e.dispatch) {
@@ -79,6 +78,8 @@
 	return -1
 }
 
+// The lease of the shards expires between the dispatcher's start of a run and the coordinator's handling of the same
+// batch. The stop of the run must still follow its start.
 func TestAStopDoesNotOvertakeTheStartOfItsRun(t *testing.T) {
 	d := newDeciderTest()
 	d.decider.handleDurable(durable.EntriesChanged{Names: []string{"entry-1"}})
@@ -102,8 +103,8 @@
 	if d.indexOf(isStart(first)) < 0 || d.indexOf(isStart(second)) >= 0 {
 		t.Fatalf("want one started task, got effects %v", d.performed)
 	}
-	// No renewal is answered from here on. The end of the first run frees the worker for the second one, and the lease
-	// runs out between the dispatcher's handling of the batch and the coordinator's of the end.
+	// No renewal is answered from here on. The end of the first run makes room for the second one on the worker, and the
+	// lease expires between the dispatcher's handling of the batch and the coordinator's handling of that end.
 	d.decider.now = func() time.Time {
 		now := d.now
 		d.now = now.Add(2 * testLease)
--- a/internal/entry/dependencies.go
+++ b/internal/entry/dependencies.go
@@ -11,15 +11,15 @@
 	"github.com/go-kit/log/level"
 )
 
-// maxDependencies bounds the lost dependencies that are remembered; the loss of further ones is not logged. It is above the number of
-// entries that the target size needs.
+// maxDependencies limits the lost dependencies that are tracked; the loss of further ones is not logged. It is above the
+// number of entries at the target size.
 const maxDependencies = 256
 
-// dependencies logs once when a dependency is lost and once when it is regained.
+// dependencies logs each loss and each recovery of a dependency once.
 type dependencies struct {
 	mu     sync.Mutex
 	logger log.Logger
-	// lost holds when the first call to each lost dependency failed, by its name.
+	// lost holds the time of the first failed call to each lost dependency, by name.
 	lost map[string]time.Time
 }
 
@@ -27,7 +27,7 @@
 	return &dependencies{logger: logger, lost: make(map[string]time.Time)}
 }
 
-// observe records whether a call to a dependency succeeded.
+// observe records the result of a call to a dependency.
 func (d *dependencies) observe(name string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/durable.go
+++ b/internal/entry/durable.go
@@ -15,26 +15,26 @@
 	"sailhead/internal/timing"
 )
 
-// DurableStore is the platform's store as the coordinator uses it. Each method makes its calls and returns what came of
-// them; calls may block and are made from goroutines of their own.
+// DurableStore is the part of the platform's store that the coordinator uses. Methods may block, and each call is made
+// from its own goroutine.
 type DurableStore interface {
-	// Lease grants a lease for a time, or renews the one given; 0 is none.
+	// Lease renews the given lease for a time, or grants a new one if the lease is 0.
 	Lease(lease durable.Lease, time time.Duration) durable.LeaseResult
-	// EndLease ends a lease. A failure is not reported: the lease runs out by itself.
+	// EndLease ends a lease. Failures are not reported, since the lease expires by itself.
 	EndLease(lease durable.Lease)
-	// Claim writes a claim if the shard has none.
+	// Claim writes a claim if the shard is unclaimed.
 	Claim(claim durable.Claim) durable.ClaimResult
 	// LoadShard reads the batches of a shard in the order of their sequence numbers.
 	LoadShard(shard durable.Shard) ([]durable.StoredBatch, error)
-	// Commit writes all parts of a commit, or nothing.
+	// Commit writes a commit atomically.
 	Commit(commit durable.Commit) durable.CommitResult
 }
 
 const (
-	// statusTime is how long the state of a durable job is known after its end. The platform asks for 120 s (status_s).
-	statusTime = 130 * time.Second
-	// commitDivisor divides the store's rate of writes for the commits of all entries: half of it is left for claims, members and the
-	// operators.
+	// statusRetention is how long the state of a durable job is kept after its end. The platform requires 120 s (status_s).
+	statusRetention = 130 * time.Second
+	// commitDivisor is the divisor of the store's write rate that gives the rate for the commits of all entries. The other
+	// half is reserved for claims, members and operators.
 	commitDivisor = 2
 )
 
@@ -42,11 +42,11 @@
 func (e *Entry) newCoordinator() *durable.Coordinator {
 	self := durable.Claim{Owner: e.self.Name, Address: e.self.Address, Incarnation: e.self.Incarnation}
 	return durable.New(self, durable.Limits{
-		Jobs: e.settings.Jobs, StatusTime: statusTime, LeaseTime: timing.ClaimLease, Commits: e.settings.StoreWrites / commitDivisor,
+		Jobs: e.settings.Jobs, StatusTime: statusRetention, LeaseTime: timing.ClaimLease, Commits: e.settings.StoreWrites / commitDivisor,
 	})
 }
 
-// performDurable carries out an effect of the coordinator.
+// performDurable executes an effect of the coordinator.
 func (e *Entry) performDurable(effect durable.Effect) {
 	switch effect := effect.(type) {
 	case durable.Reply:
@@ -60,12 +60,12 @@
 	case durable.DecisionMade:
 		e.logDurable(effect)
 	default:
-		// Calls to the store and to other entries may block: the loop does not wait for them.
+		// Calls to the store and to other entries may block and must not delay the event loop.
 		go e.call(effect)
 	}
 }
 
-// call makes one call for the coordinator and posts the result.
+// call executes one call for the coordinator and posts the result.
 func (e *Entry) call(effect durable.Effect) {
 	store := e.settings.Durable
 	switch effect := effect.(type) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -29,39 +29,39 @@
 	Name string
 	// Zone is the availability zone of the entry's VM.
 	Zone string
-	// Peers listens for the exchanges and requests of other entries and the announcements of agents.
+	// Peers accepts connections for exchanges and requests of other entries and for announcements of agents.
 	Peers net.Listener
-	// Seeds are addresses of entries to exchange with while the store does not answer.
+	// Seeds are addresses of entries to exchange with in addition to the known members.
 	Seeds []string
-	// StopTimeout is the longest time of a planned stop.
+	// StopTimeout is the longest duration of a graceful shutdown.
 	StopTimeout time.Duration
-	// Ring is how many events may wait in each of the event loop's two rings.
+	// Ring is the capacity of each of the event loop's two queues.
 	Ring int
-	// Jobs is the largest number of jobs under way, and of durable jobs as many again.
+	// Jobs is the largest number of open jobs. Durable jobs have a limit of the same size of their own.
 	Jobs int
-	// ContainKinds is set if kinds of which jobs crash workers are confined to some workers.
+	// ContainKinds confines kinds whose jobs crash workers to a few workers.
 	ContainKinds bool
-	// CrossRackFactor is by how many times a task takes longer on a worker of another rack than that of its data.
+	// CrossRackFactor is how many times longer a task takes on a worker outside the rack of its data.
 	CrossRackFactor float64
-	// HandOver is set if jobs are handed over to other entries when this one does not keep up or stops.
+	// HandOver hands jobs over to other entries when this one is overloaded or shutting down.
 	HandOver bool
-	// ShareLearned is set if what entries learn of kinds is shared.
+	// ShareLearned shares what an entry has learned about kinds with other entries.
 	ShareLearned bool
-	// EjectWorkers is set if ejected workers get no tasks but probes.
+	// EjectWorkers stops sending tasks other than probes to ejected workers.
 	EjectWorkers bool
-	// ForecastAdmission is set if jobs are refused on arrival that would wait too long for a worker.
+	// ForecastAdmission refuses jobs on arrival if they are forecast to wait too long for a worker.
 	ForecastAdmission bool
-	// Shares is set if workers are divided between kinds of jobs and availability zones, and Weights are those of some kinds.
+	// Shares divides workers between kinds of jobs and availability zones. Weights holds the weights of some kinds.
 	Shares  bool
 	Weights map[string]float64
-	// Durable is the store of the durable jobs, StoreWrites the store's rate of writes a second for all entries together.
+	// Durable is the store of durable jobs. StoreWrites is the store's capacity in writes per second for all entries.
 	Durable     DurableStore
 	StoreWrites int
 }
 
-// Configurations checks the operators' configuration and holds the one in use.
+// Configurations validates the operators' configuration and holds the active one.
 type Configurations interface {
-	// Accept reads a document and takes it into use if it is newer than the one in use. It returns the document's version.
+	// Accept parses a document and activates it if it is newer than the active one. It returns the document's version.
 	Accept(document []byte) (version uint64, err error)
 }
 
@@ -77,17 +77,17 @@
 	dependencies   *dependencies
 
 	logger log.Logger
-	// successes and others are the limited logs of decisions that went well and of all others.
-	successes   log.Logger
-	others      log.Logger
-	metrics     *metric.Set
-	answerTimes *metric.Times
-	queueTimes  *metric.Times
-	// forecastErrors shows by how much the waits of jobs differ from their forecasts.
+	// successLogger and limitedLogger are the rate-limited loggers for successful jobs and for all other decisions.
+	successLogger log.Logger
+	limitedLogger log.Logger
+	metrics       *metric.Set
+	answerTimes   *metric.Times
+	queueTimes    *metric.Times
+	// forecastErrors records by how much the waits of jobs differ from their forecasts.
 	forecastErrors *metric.Times
 
-	// decider, accepted, learnedPublished and ejectedAgents are used by the event loop only. learnedPublished is when publishLearned did something
-	// last, ejectedAgents the number of agents with ejected workers as last shown.
+	// The event loop alone uses decider, learnedPublished, ejectedAgents and accepted. learnedPublished is when
+	// publishLearned last published, ejectedAgents the exported number of agents with ejected workers.
 	decider          *decider
 	learnedPublished time.Time
 	ejectedAgents    int
@@ -96,11 +96,11 @@
 	durableEvents    chan durable.Event
 
 	context      context.Context
-	duties       sync.WaitGroup
+	goroutines   sync.WaitGroup
 	shuttingDown atomic.Bool
 	seeds        atomic.Pointer[[]string]
 
-	// The requests that wait for an answer of the event loop, by what they wait for.
+	// Requests that wait for an answer from the event loop, by type of answer.
 	jobWaiters       *waiters[dispatch.Waiter, dispatch.Answer]
 	stateWaiters     *waiters[dispatch.Waiter, dispatch.JobState]
 	cancelWaiters    *waiters[dispatch.Waiter, bool]
@@ -109,27 +109,28 @@
 	surrenderWaiters *waiters[durable.Waiter, durable.SurrenderReply]
 
 	sessions *sessionTable
-	// handOvers carries jobs to other entries.
+	// handOvers hands jobs over to other entries.
 	handOvers *handover.Sender
 	// traffic counts the messages of all sessions.
 	traffic *session.Traffic
 	choice  *agentChoice
-	// membersRead is closed once the store has told the members.
+	// membersRead is closed once the members have been read from the store.
 	membersRead chan struct{}
-	// registered are the names of the registered agents that the dispatcher was told of; only the duty connect uses them.
+	// registered are the names of the agents last reported to the dispatcher; only the connect goroutine uses them.
 	registered []string
-	// evacuations are those that were logged; the directory has those in force.
-	evacuations shownEvacuations
-	// idleAgents are agents whose sessions may be closed, from the event loop to the duty connect.
+	// evacuations are those already logged; the directory has the current ones.
+	evacuations loggedEvacuations
+	// idleAgents passes agents whose sessions may be closed from the event loop to the connect goroutine.
 	idleAgents chan dispatch.AgentID
 	shards     shardView
-	// The event loop's latest counts of jobs under way, of agents in session and of shards owned here.
+	// The event loop's latest counts of open jobs, of agents with a session and of shards owned here.
 	jobs        atomic.Int64
 	agents      atomic.Int64
 	ownedShards atomic.Int64
 }
 
-// New starts an entry. The clean-up ends it at once and drops its jobs; a planned stop calls Shutdown before.
+// New starts an entry. The returned function stops it immediately and drops its jobs; call Shutdown first for a graceful
+// shutdown.
 func New(settings Settings, configurations Configurations, store Store, logger log.Logger, metrics *metric.Set) (*Entry, func()) {
 	logger = logging.Part(logger, "entry")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -144,8 +145,8 @@
 		dependencies: newDependencies(logger),
 
 		logger:         logger,
-		successes:      logging.NewLimited(level.Info(logger), successLines),
-		others:         logging.NewLimited(level.Info(logger), otherLines),
+		successLogger:  logging.NewLimited(level.Info(logger), maxSuccessLinesPerSecond),
+		limitedLogger:  logging.NewLimited(level.Info(logger), maxOtherLinesPerSecond),
 		metrics:        metrics,
 		answerTimes:    metrics.Times("answer_time"),
 		queueTimes:     metrics.Times("queue_time"),
@@ -164,7 +165,7 @@
 		traffic:          session.NewTraffic(metrics),
 		choice:           newAgentChoice(clock.Now()),
 		membersRead:      make(chan struct{}),
-		idleAgents:       make(chan dispatch.AgentID, idleAgentsRing),
+		idleAgents:       make(chan dispatch.AgentID, idleAgentsQueueSize),
 	}
 	e.decider = &decider{
 		dispatcher:  newDispatcher(settings),
@@ -177,8 +178,8 @@
 	e.exchanger = exchanger
 	stopServing := servePeers(settings.Peers, exchanger, e)
 	e.directory.AddMember(e.self)
-	for _, duty := range []func(){e.run, e.connect, e.watchLiveness, e.followStore, e.register, e.exchange} {
-		e.duties.Go(duty)
+	for _, loop := range []func(){e.run, e.connect, e.watchLiveness, e.followStore, e.register, e.exchange} {
+		e.goroutines.Go(loop)
 	}
 	_ = level.Info(logger).Log("msg", "serving peers", "address", e.self.Address)
 	return e, func() {
@@ -187,7 +188,7 @@
 		closeExchanger()
 		closePeers()
 		closeHandOvers()
-		e.duties.Wait()
+		e.goroutines.Wait()
 	}
 }
 
--- a/internal/entry/evacuation.go
+++ b/internal/entry/evacuation.go
@@ -18,7 +18,7 @@
 //
 // Calls for two changes may overtake each other. All receivers merge the states, so the newest change of each zone counts.
 func (e *Entry) EvacuationsReceived(state evacuation.State) {
-	e.evacuations.show(e, state)
+	e.evacuations.update(e, state)
 	e.post(dispatch.EvacuationsChanged{State: state})
 	for _, s := range e.sessions.all() {
 		s.conn.SendEvacuations(state)
@@ -26,14 +26,14 @@
 	e.choice.notify()
 }
 
-// shownEvacuations is what was logged and counted of the evacuated availability zones. It is safe for concurrent use.
-type shownEvacuations struct {
+// loggedEvacuations is what was logged and counted of the evacuated availability zones. It is safe for concurrent use.
+type loggedEvacuations struct {
 	mu    sync.Mutex
 	state evacuation.State
 }
 
-// show logs each availability zone that was evacuated or taken back since the last call, and counts the evacuated ones.
-func (s *shownEvacuations) show(e *Entry, state evacuation.State) {
+// update logs each availability zone that was evacuated or taken back since the last call, and counts the evacuated ones.
+func (s *loggedEvacuations) update(e *Entry, state evacuation.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.state
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -20,16 +20,16 @@
 	return loadFilter{latest: make(map[dispatch.AgentID]dispatch.LoadReceived)}
 }
 
-// newest removes the loads from events, in place, that are followed by one of the same agent. One that tells another state of the agent
+// dropSuperseded removes the loads from events, in place, that are followed by one of the same agent. One that tells another state of the agent
 // than its successor stays.
-func (f loadFilter) newest(events []dispatch.Event) []dispatch.Event {
+func (f loadFilter) dropSuperseded(events []dispatch.Event) []dispatch.Event {
 	clear(f.latest)
 	for i := len(events) - 1; i >= 0; i-- {
 		load, ok := events[i].(dispatch.LoadReceived)
 		if !ok {
 			continue
 		}
-		if later, isReplaced := f.latest[load.Agent]; isReplaced && hasSameState(load, later) {
+		if later, isSuperseded := f.latest[load.Agent]; isSuperseded && hasSameState(load, later) {
 			events[i] = nil
 			continue
 		}
--- a/internal/entry/loads_test.go
+++ b/internal/entry/loads_test.go
@@ -11,7 +11,7 @@
 	"sailhead/internal/runner"
 )
 
-func loadOf(agent dispatch.AgentID, handled uint64, accepts bool) dispatch.Event {
+func loadEvent(agent dispatch.AgentID, handled uint64, accepts bool) dispatch.Event {
 	return dispatch.LoadReceived{Agent: agent, Handled: handled, Load: runner.Load{Accepts: accepts}}
 }
 
@@ -19,16 +19,16 @@
 	up := dispatch.AgentUp{Agent: "c"}
 	for name, test := range map[string]struct{ events, want []dispatch.Event }{
 		"none":           {nil, nil},
-		"one":            {[]dispatch.Event{loadOf("a", 1, true)}, []dispatch.Event{loadOf("a", 1, true)}},
-		"of one agent":   {[]dispatch.Event{loadOf("a", 1, true), loadOf("a", 2, true), up}, []dispatch.Event{loadOf("a", 2, true), up}},
-		"of two agents":  {[]dispatch.Event{loadOf("a", 1, true), loadOf("b", 1, true)}, []dispatch.Event{loadOf("a", 1, true), loadOf("b", 1, true)}},
-		"others between": {[]dispatch.Event{loadOf("a", 1, true), up, loadOf("a", 2, true)}, []dispatch.Event{up, loadOf("a", 2, true)}},
+		"one":            {[]dispatch.Event{loadEvent("a", 1, true)}, []dispatch.Event{loadEvent("a", 1, true)}},
+		"of one agent":   {[]dispatch.Event{loadEvent("a", 1, true), loadEvent("a", 2, true), up}, []dispatch.Event{loadEvent("a", 2, true), up}},
+		"of two agents":  {[]dispatch.Event{loadEvent("a", 1, true), loadEvent("b", 1, true)}, []dispatch.Event{loadEvent("a", 1, true), loadEvent("b", 1, true)}},
+		"others between": {[]dispatch.Event{loadEvent("a", 1, true), up, loadEvent("a", 2, true)}, []dispatch.Event{up, loadEvent("a", 2, true)}},
 		"another state": {
-			[]dispatch.Event{loadOf("a", 1, true), loadOf("a", 2, false), loadOf("a", 3, false), loadOf("a", 4, true)},
-			[]dispatch.Event{loadOf("a", 1, true), loadOf("a", 3, false), loadOf("a", 4, true)},
+			[]dispatch.Event{loadEvent("a", 1, true), loadEvent("a", 2, false), loadEvent("a", 3, false), loadEvent("a", 4, true)},
+			[]dispatch.Event{loadEvent("a", 1, true), loadEvent("a", 3, false), loadEvent("a", 4, true)},
 		},
 	} {
-		got := newLoadFilter().newest(test.events)
+		got := newLoadFilter().dropSuperseded(test.events)
 		if len(got) != len(test.want) || len(got) > 0 && !reflect.DeepEqual(got, test.want) {
 			t.Errorf("%s: got %v, want %v", name, got, test.want)
 		}
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -18,11 +18,11 @@
 
 // Bounds of the log, in lines a second.
 const (
-	// successLines bounds the lines of jobs that were completed within their objective: a sample, at 55 entries a thousand lines a second
+	// maxSuccessLinesPerSecond bounds the lines of jobs that were completed within their objective: a sample, at 55 entries a thousand lines a second
 	// in all.
-	successLines = 20
-	// otherLines bounds the lines of all other decisions: every refusal of an entry of the large site at twice its cores.
-	otherLines = 200
+	maxSuccessLinesPerSecond = 20
+	// maxOtherLinesPerSecond bounds the lines of all other decisions: every refusal of an entry of the large site at twice its cores.
+	maxOtherLinesPerSecond = 200
 )
 
 // ageResolution is the resolution of the age of a job in the log.
@@ -67,7 +67,7 @@
 			e.queueTimes.Record(m.Kind, m.Age)
 		}
 		if decision.Expected.IsKnown {
-			e.recordForecast(m.Kind, m.Age-decision.Expected.Wait)
+			e.recordForecastError(m.Kind, m.Age-decision.Expected.Wait)
 		}
 	case dispatch.DecisionEnded:
 		e.metrics.Add(metric.TasksEnded, 1)
@@ -95,13 +95,13 @@
 	}
 }
 
-// recordForecast records by how much a wait was longer than its forecast, or shorter if that is negative.
-func (e *Entry) recordForecast(kind string, longer time.Duration) {
-	if longer < 0 {
-		e.forecastErrors.Record(kind+" shorter", -longer)
+// recordForecastError records by how much a wait was longer than its forecast, or shorter if that is negative.
+func (e *Entry) recordForecastError(kind string, forecastError time.Duration) {
+	if forecastError < 0 {
+		e.forecastErrors.Record(kind+" shorter", -forecastError)
 		return
 	}
-	e.forecastErrors.Record(kind+" longer", longer)
+	e.forecastErrors.Record(kind+" longer", forecastError)
 }
 
 // loggerFor returns the logger of a decision. The steps of a job that goes well are for debugging (the ids of accepted jobs
@@ -113,7 +113,7 @@
 		return level.Debug(e.logger)
 	case dispatch.DecisionHandOverEnded:
 		if _, isCompleted := decision.Answer.(dispatch.Completed); isCompleted {
-			return e.successes
+			return e.successLogger
 		}
 	case dispatch.DecisionEnded:
 		if decision.Outcome == runner.OutcomeDone && decision.Reason == "" {
@@ -121,10 +121,10 @@
 		}
 	case dispatch.DecisionAnswered:
 		if _, isCompleted := decision.Answer.(dispatch.Completed); isCompleted && decision.Late == nil {
-			return e.successes
+			return e.successLogger
 		}
 	}
-	return e.others
+	return e.limitedLogger
 }
 
 // messageOf returns the log message of a decision.
--- a/internal/entry/log_test.go
+++ b/internal/entry/log_test.go
@@ -46,9 +46,9 @@
 	metrics := metric.NewSet()
 	l.entry = &Entry{
 		logger: log.With(root, "logger", "all"), metrics: metrics,
-		successes:   log.With(level.Info(root), "logger", "successes"),
-		others:      log.With(level.Info(root), "logger", "others"),
-		answerTimes: metrics.Times("answer_time"), queueTimes: metrics.Times("queue_time"),
+		successLogger: log.With(level.Info(root), "logger", "successes"),
+		limitedLogger: log.With(level.Info(root), "logger", "others"),
+		answerTimes:   metrics.Times("answer_time"), queueTimes: metrics.Times("queue_time"),
 		forecastErrors: metrics.Times("forecast_error"),
 	}
 	return l
@@ -80,14 +80,14 @@
 }
 
 func (l *decisionLog) submit(id string, tasks int) {
-	l.handle(dispatch.Submitted{Waiter: 1, Job: logJob(id, tasks)})
+	l.handle(dispatch.Submitted{Waiter: 1, Job: newTestJob(id, tasks)})
 }
 
 func (l *decisionLog) run(agent dispatch.AgentID, task string, run uint32, outcome runner.Outcome, reason string) {
 	l.handle(dispatch.RunUpdated{Agent: agent, Update: runner.Update{Name: task, Run: run, Outcome: outcome, Reason: reason}})
 }
 
-func logJob(id string, tasks int) dispatch.Job {
+func newTestJob(id string, tasks int) dispatch.Job {
 	return dispatch.Job{
 		ID: id, RemainingTime: 1234567 * time.Microsecond,
 		Kind: dispatch.Kind{
@@ -158,10 +158,10 @@
 	l.handle(dispatch.AgentDown{Agent: "b"})
 
 	// Durable jobs: one is done, one is dropped.
-	l.handle(dispatch.DurableAccepted{Job: logJob("durable", 1)})
+	l.handle(dispatch.DurableAccepted{Job: newTestJob("durable", 1)})
 	l.run("a", "durable.0.0.0", 1, runner.OutcomeLost, "another life of the worker began")
 	l.run("a", "durable.0.0.0", 2, runner.OutcomeDone, "")
-	l.handle(dispatch.DurableAccepted{Job: logJob("moved", 1)}, dispatch.DurableDropped{Jobs: []string{"moved"}})
+	l.handle(dispatch.DurableAccepted{Job: newTestJob("moved", 1)}, dispatch.DurableDropped{Jobs: []string{"moved"}})
 
 	// Given up after two crashes.
 	l.submit("crashing", 1)
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -38,7 +38,7 @@
 			e.accepted.flush(e.logger)
 			return
 		case event := <-e.events:
-			events = loads.newest(e.gather(append(events, event)))
+			events = loads.dropSuperseded(e.fillBatch(append(events, event)))
 		case durableEvent = <-e.durableEvents:
 		case <-ticker.C:
 			lateness.Ticked(clock.Now())
@@ -59,8 +59,8 @@
 	}
 }
 
-// gather adds the events that wait in the ring, up to the size of a batch.
-func (e *Entry) gather(events []dispatch.Event) []dispatch.Event {
+// fillBatch adds the events that wait in the ring, up to the size of a batch.
+func (e *Entry) fillBatch(events []dispatch.Event) []dispatch.Event {
 	for len(events) < batchSize {
 		select {
 		case event := <-e.events:
@@ -105,12 +105,12 @@
 	e.ownedShards.Store(int64(shards))
 }
 
-// learnedInterval is the time between two records of what was learned that other entries are told: as often as they are told at all.
-const learnedInterval = timing.ExchangeInterval
+// publishLearnedInterval is the time between two records of what was learned that other entries are told: as often as they are told at all.
+const publishLearnedInterval = timing.ExchangeInterval
 
 // publishLearned stores what the dispatcher has learned where exchanges read it.
 func (e *Entry) publishLearned(now time.Time) {
-	if !e.settings.ShareLearned || now.Sub(e.learnedPublished) < learnedInterval {
+	if !e.settings.ShareLearned || now.Sub(e.learnedPublished) < publishLearnedInterval {
 		return
 	}
 	e.learnedPublished = now
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -31,7 +31,7 @@
 func servePeers(listener net.Listener, exchanger *cluster.Exchanger, local *Entry) func() {
 	mux := http.NewServeMux()
 	mux.Handle(durable.PathPrefix, durable.NewServer(local))
-	handOvers, closeHandOvers := handover.NewServer(local, local.others)
+	handOvers, closeHandOvers := handover.NewServer(local, local.limitedLogger)
 	mux.Handle(handover.Path, handOvers)
 	mux.Handle("/", exchanger.Handler())
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
@@ -84,14 +84,14 @@
 func (e *Entry) exchange() {
 	interval := firstExchangeDelay
 	for e.pause(interval/2 + rand.N(interval)) {
-		if address, ok := e.anyPeer(); ok {
-			interval = nextExchange(interval, e.exchangeWith(address))
+		if address, ok := e.randomPeer(); ok {
+			interval = nextExchangeDelay(interval, e.exchangeWith(address))
 		}
 	}
 }
 
-// nextExchange returns the mean pause after an exchange.
-func nextExchange(before time.Duration, hasSucceeded bool) time.Duration {
+// nextExchangeDelay returns the mean pause after an exchange.
+func nextExchangeDelay(before time.Duration, hasSucceeded bool) time.Duration {
 	if hasSucceeded {
 		return timing.ExchangeInterval
 	}
@@ -109,8 +109,8 @@
 	return err == nil
 }
 
-// anyPeer returns the address of a random other entry or seed; ok is false if none is known.
-func (e *Entry) anyPeer() (address string, ok bool) {
+// randomPeer returns the address of a random other entry or seed; ok is false if none is known.
+func (e *Entry) randomPeer() (address string, ok bool) {
 	var addresses []string
 	for _, m := range e.directory.Members(cluster.RoleEntry) {
 		addresses = append(addresses, m.Address)
@@ -137,7 +137,7 @@
 func (e *Entry) Accept(document []byte) (version uint64, err error) {
 	version, err = e.configurations.Accept(document)
 	if err != nil {
-		_ = e.others.Log("msg", "unable to use the configuration of another entry", "err", err)
+		_ = e.limitedLogger.Log("msg", "unable to use the configuration of another entry", "err", err)
 	}
 	return version, err
 }
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -13,14 +13,14 @@
 func TestThePauseBetweenExchangesDoublesUntilTheFirstSucceeds(t *testing.T) {
 	pause := firstExchangeDelay
 	for _, want := range []time.Duration{100, 200, 400, 450, 450} {
-		if pause = nextExchange(pause, false); pause != want*time.Millisecond {
+		if pause = nextExchangeDelay(pause, false); pause != want*time.Millisecond {
 			t.Errorf("after a failure %s, want %s", pause, want*time.Millisecond)
 		}
 	}
-	if got := nextExchange(firstExchangeDelay, true); got != timing.ExchangeInterval {
+	if got := nextExchangeDelay(firstExchangeDelay, true); got != timing.ExchangeInterval {
 		t.Errorf("after a success %s, want %s", got, timing.ExchangeInterval)
 	}
-	if got := nextExchange(timing.ExchangeInterval, false); got != timing.ExchangeInterval {
+	if got := nextExchangeDelay(timing.ExchangeInterval, false); got != timing.ExchangeInterval {
 		t.Errorf("after a later failure %s, want %s", got, timing.ExchangeInterval)
 	}
 }
--- a/internal/entry/shards.go
+++ b/internal/entry/shards.go
@@ -22,8 +22,8 @@
 	claims [durable.Shards]*durable.Claim
 	// addresses are those of the other entries that own shards.
 	addresses []string
-	// everUsed is set once a durable job was known: without one nothing has to be asked.
-	everUsed bool
+	// hadDurableJobs is set once a durable job was known: without one nothing has to be asked.
+	hadDurableJobs bool
 	// updated is when the store was last read or answered a watch; zero before that.
 	updated time.Time
 }
@@ -39,8 +39,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.updated = now
-	isFirst = hasDurableJobs && !v.everUsed
-	v.everUsed = v.everUsed || hasDurableJobs
+	isFirst = hasDurableJobs && !v.hadDurableJobs
+	v.hadDurableJobs = v.hadDurableJobs || hasDurableJobs
 	return isFirst
 }
 
@@ -79,7 +79,7 @@
 			return true
 		}
 	}
-	return v.everUsed
+	return v.hadDurableJobs
 }
 
 const (
@@ -157,11 +157,11 @@
 	})
 	known, ok := answer.(durable.Known)
 	if !ok {
-		_ = e.others.Log("msg", "kept job not taken", "job", job.ID, "kind", job.Kind.Name, "answer", describeDurable(answer))
+		_ = e.limitedLogger.Log("msg", "kept job not taken", "job", job.ID, "kind", job.Kind.Name, "answer", describeDurable(answer))
 		return answer
 	}
 	e.metrics.Add(metric.JobsKept, 1)
-	_ = e.successes.Log("msg", "kept job taken", "job", job.ID, "kind", job.Kind.Name, "state", known.State)
+	_ = e.successLogger.Log("msg", "kept job taken", "job", job.ID, "kind", job.Kind.Name, "state", known.State)
 	return answer
 }
 
--- a/internal/entry/shutdown.go
+++ b/internal/entry/shutdown.go
@@ -22,15 +22,15 @@
 //  3. It stops listening, and waits until no job is under way and all shards are released.
 //  4. Requests that are still open get answerTimeout to be answered.
 const (
-	// stopMargin is kept of StopTimeout for the end of the process.
-	stopMargin = 400 * time.Millisecond
+	// exitMargin is kept of StopTimeout for the end of the process.
+	exitMargin = 400 * time.Millisecond
 	// releaseMargin is how long before the end of the stop the shards are released at the latest, so that the commit that records the
 	// release is written.
 	releaseMargin = 1200 * time.Millisecond
-	// balancerDelay is how long after BeginShutdown the balancer may send new connections. It asks every second, and an answer may be late.
-	balancerDelay = 2300 * time.Millisecond
-	// quietTime is how long no connection must have come before the entry stops listening.
-	quietTime = 250 * time.Millisecond
+	// balancerDrainTime is how long after BeginShutdown the balancer may send new connections. It asks every second, and an answer may be late.
+	balancerDrainTime = 2300 * time.Millisecond
+	// connectionQuietTime is how long no connection must have come before the entry stops listening.
+	connectionQuietTime = 250 * time.Millisecond
 	// answerTimeout is how long the last open requests may take to be answered.
 	answerTimeout = 250 * time.Millisecond
 	// shutdownPollInterval is the time between two checks of what a stop waits for.
@@ -53,8 +53,8 @@
 // requests were cut off. The clean-up of New comes after it.
 func (e *Entry) Shutdown(ingress Ingress) error {
 	stopBy := e.BeginShutdown()
-	time.Sleep(min(balancerDelay, clock.Until(stopBy)))
-	for ingress.SinceConnection() < quietTime && clock.Now().Before(stopBy) {
+	time.Sleep(min(balancerDrainTime, clock.Until(stopBy)))
+	for ingress.SinceConnection() < connectionQuietTime && clock.Now().Before(stopBy) {
 		time.Sleep(shutdownPollInterval)
 	}
 	ingress.StopListening()
@@ -71,7 +71,7 @@
 // when the process must have answered everything.
 func (e *Entry) BeginShutdown() (stopBy time.Time) {
 	e.shuttingDown.Store(true)
-	stopBy = clock.Now().Add(e.settings.StopTimeout - stopMargin)
+	stopBy = clock.Now().Add(e.settings.StopTimeout - exitMargin)
 	e.post(dispatch.ShutdownRequested{Until: stopBy})
 	e.postDurable(durable.ShutdownRequested{Until: stopBy.Add(-releaseMargin)})
 	_ = level.Info(e.logger).Log("msg", "stopping", "within", e.settings.StopTimeout)
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -49,7 +49,7 @@
 func (e *Entry) followStore() {
 	e.readConfiguration()
 	isCurrent := false
-	tellRead := sync.OnceFunc(func() { close(e.membersRead) })
+	signalMembersRead := sync.OnceFunc(func() { close(e.membersRead) })
 	for e.context.Err() == nil {
 		wasCurrent := isCurrent
 		update, err := e.nextUpdate(&isCurrent)
@@ -59,7 +59,7 @@
 			continue
 		}
 		e.applyUpdate(update)
-		tellRead()
+		signalMembersRead()
 		if isCurrent && !wasCurrent {
 			e.postDurable(durable.StoreRead{HasJobs: update.HasDurableJobs})
 		}
@@ -110,8 +110,8 @@
 }
 
 // applyEvacuations takes into use which availability zones are evacuated.
-func (e *Entry) applyEvacuations(news evacuation.State) {
-	if state, isChanged := e.directory.MergeEvacuations(news); isChanged {
+func (e *Entry) applyEvacuations(received evacuation.State) {
+	if state, isChanged := e.directory.MergeEvacuations(received); isChanged {
 		e.EvacuationsReceived(state)
 	}
 }
--- a/internal/entry/submit.go
+++ b/internal/entry/submit.go
@@ -33,12 +33,12 @@
 }
 
 // answerOr returns the answer that has come already, or another one if there is none.
-func answerOr(answered <-chan dispatch.Answer, otherwise dispatch.Answer) dispatch.Answer {
+func answerOr(answered <-chan dispatch.Answer, fallback dispatch.Answer) dispatch.Answer {
 	select {
 	case answer := <-answered:
 		return answer
 	default:
-		return otherwise
+		return fallback
 	}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // State reports whether a job is under way and whether a task of it may have begun.
-func (e *Entry) State(ctx context.Context, id string) (known, begun bool) {
+func (e *Entry) State(ctx context.Context, id string) (known, started bool) {
 	waiter, answered := e.stateWaiters.add()
 	e.post(dispatch.StateRequested{Job: id, Waiter: waiter})
 	// Without an answer the caller has left, or the process ends: nobody reads the result.
@@ -76,5 +76,5 @@
 func (e *Entry) Rejected(path string, status int, reason string) {
 	e.metrics.Add(metric.RequestsRejected, 1)
 	version, _ := e.directory.Document()
-	_ = e.others.Log("msg", "rejected", "path", path, "status", status, "configuration", version, "reason", reason)
+	_ = e.limitedLogger.Log("msg", "rejected", "path", path, "status", status, "configuration", version, "reason", reason)
 }
--- a/internal/entry/submit_test.go
+++ b/internal/entry/submit_test.go
@@ -11,8 +11,8 @@
 	"sailhead/internal/metric"
 )
 
-// newSubmitting returns an entry without an event loop, and the function that ends it.
-func newSubmitting(ring int) (*Entry, context.CancelFunc) {
+// newSubmitTestEntry returns an entry without an event loop, and the function that ends it.
+func newSubmitTestEntry(ring int) (*Entry, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Entry{
 		events: make(chan dispatch.Event, ring), metrics: metric.NewSet(), context: ctx, jobWaiters: newWaiters[dispatch.Waiter, dispatch.Answer](),
@@ -33,7 +33,7 @@
 // TestAnAnswerIsNotLostWithTheEntry answers a job and ends the entry before the request looks for either.
 func TestAnAnswerIsNotLostWithTheEntry(t *testing.T) {
 	for range 50 {
-		e, end := newSubmitting(1)
+		e, end := newSubmitTestEntry(1)
 		caller := callerContext{Context: t.Context(), onWait: func() {
 			submitted := (<-e.events).(dispatch.Submitted)
 			e.jobWaiters.answer(submitted.Waiter, dispatch.Completed{})
@@ -47,7 +47,7 @@
 
 // TestAFullRingRefusesForTheEntrysOwnSake submits a job while the event loop does not keep up. An entry that has handed it over may run it itself.
 func TestAFullRingRefusesForTheEntrysOwnSake(t *testing.T) {
-	e, end := newSubmitting(1)
+	e, end := newSubmitTestEntry(1)
 	defer end()
 	e.events <- dispatch.Ticked{}
 	answer, isNotRun := e.Submit(t.Context(), dispatch.Job{ID: "a"}).(dispatch.NotRun)
