--- a/internal/entry/evacuation.go
+++ b/internal/entry/evacuation.go
@@ -13,10 +13,11 @@
 	"sailhead/internal/metric"
 )
 
-// EvacuationsReceived passes on what the directory now knows of the evacuated availability zones: to the dispatcher, which places
-// nothing there, to the agents in session, which start nothing, and to the choice of agents. It implements cluster.Listener.
+// EvacuationsReceived passes the directory's state of the evacuated availability zones to the dispatcher, which places no
+// tasks there, to the agents with a session, which start none, and to the choice of agents. It implements
+// cluster.Listener.
 //
-// Calls for two changes may overtake each other. All receivers merge the states, so the newest change of each zone counts.
+// Calls for two changes may be reordered. All receivers merge the states, so that the newest change of each zone wins.
 func (e *Entry) EvacuationsReceived(state evacuation.State) {
 	e.evacuations.update(e, state)
 	e.post(dispatch.EvacuationsChanged{State: state})
@@ -26,13 +27,15 @@
 	e.choice.notify()
 }
 
-// loggedEvacuations is what was logged and counted of the evacuated availability zones. It is safe for concurrent use.
+// loggedEvacuations is the state of the evacuated availability zones that was last logged and exported. It is safe for
+// concurrent use.
 type loggedEvacuations struct {
 	mu    sync.Mutex
 	state evacuation.State
 }
 
-// update logs each availability zone that was evacuated or taken back since the last call, and counts the evacuated ones.
+// update logs each availability zone that was evacuated or returned to service since the last call, and exports the
+// number of evacuated ones.
 func (s *loggedEvacuations) update(e *Entry, state evacuation.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/handover.go
+++ b/internal/entry/handover.go
@@ -16,7 +16,7 @@
 		e.metrics.Add(metric.JobsHandedOver, 1)
 		return
 	}
-	// The event loop calls this, so it must not wait for its own ring.
+	// The event loop calls this, so posting to its own queue must not block it.
 	go e.HandOverEnded(handOver.Job.ID, handOver.Number, dispatch.HandOverNotSent{Reason: "no other entry takes jobs"})
 }
 
@@ -37,7 +37,8 @@
 	e.post(dispatch.HandOverEnded{Job: job, Number: number, Result: result})
 }
 
-// handOverPeers returns the entries that may get jobs: none if jobs are not handed over, so that no connections are opened.
+// handOverPeers returns the entries to which jobs may be handed over. It returns none if hand-over is disabled, so that no
+// connections are opened.
 func (e *Entry) handOverPeers() []handover.Peer {
 	if !e.settings.HandOver {
 		return nil
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -9,10 +9,10 @@
 	"sailhead/internal/dispatch"
 )
 
-// loadFilter leaves out loads that are out of date. Loads are most of what an entry receives, and each replaces the one before: an entry
-// that has fallen behind catches up by reading the latest of each agent only.
+// loadFilter drops outdated loads. Most events that an entry receives are loads, and each supersedes the previous one of
+// its agent, so an entry that has fallen behind catches up by handling only the latest load of each agent.
 type loadFilter struct {
-	// latest holds the latest load of each agent in the events at hand.
+	// latest holds the latest load of each agent in the current batch.
 	latest map[dispatch.AgentID]dispatch.LoadReceived
 }
 
@@ -20,8 +20,8 @@
 	return loadFilter{latest: make(map[dispatch.AgentID]dispatch.LoadReceived)}
 }
 
-// dropSuperseded removes the loads from events, in place, that are followed by one of the same agent. One that tells another state of the agent
-// than its successor stays.
+// dropSuperseded removes, in place, loads that are followed by one of the same agent, except where the agent's state
+// differs between the two.
 func (f loadFilter) dropSuperseded(events []dispatch.Event) []dispatch.Event {
 	clear(f.latest)
 	for i := len(events) - 1; i >= 0; i-- {
@@ -38,7 +38,7 @@
 	return slices.DeleteFunc(events, func(event dispatch.Event) bool { return event == nil })
 }
 
-// hasSameState reports whether two loads tell the same of everything that changes what an agent may get.
+// hasSameState reports whether two loads agree in everything that decides which tasks an agent may get.
 func hasSameState(a, b dispatch.LoadReceived) bool {
 	return a.Load.Accepts == b.Load.Accepts && a.Load.KnowsAllEnds == b.Load.KnowsAllEnds && a.Load.ShuttingDown == b.Load.ShuttingDown
 }
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -16,12 +16,13 @@
 	"sailhead/internal/runner"
 )
 
-// Bounds of the log, in lines a second.
+// Rate limits of the log, in lines per second.
 const (
-	// maxSuccessLinesPerSecond bounds the lines of jobs that were completed within their objective: a sample, at 55 entries a thousand lines a second
-	// in all.
+	// maxSuccessLinesPerSecond limits the lines about jobs completed within their objective to a sample: 55 entries write
+	// about a thousand lines per second in all.
 	maxSuccessLinesPerSecond = 20
-	// maxOtherLinesPerSecond bounds the lines of all other decisions: every refusal of an entry of the large site at twice its cores.
+	// maxOtherLinesPerSecond limits the lines about all other decisions. It allows every refusal of an entry of the large
+	// site at twice its cores.
 	maxOtherLinesPerSecond = 200
 )
 
@@ -47,11 +48,11 @@
 	if m.Job == "" && m.Kind != "" {
 		fields = append(fields, "kind", m.Kind)
 	}
-	// A line that cannot be written has nowhere else to go.
+	// There is nowhere else to report that a log line could not be written.
 	_ = e.loggerFor(m.Decision).Log(append(fields, "detail", detailOf(m.Decision))...)
 }
 
-// count updates the metrics of a decision.
+// count updates the metrics for a decision.
 func (e *Entry) count(m dispatch.DecisionMade) {
 	switch decision := m.Decision.(type) {
 	case dispatch.DecisionAnswered:
@@ -85,7 +86,7 @@
 	}
 }
 
-// countRefusal counts a refusal by when it came.
+// countRefusal counts refusals on arrival and after a wait.
 func (e *Entry) countRefusal(answered dispatch.DecisionAnswered) {
 	if refusal, isRefusal := answered.Answer.(dispatch.NotRun); isRefusal && refusal.IsForecast {
 		e.metrics.Add(metric.RefusedOnArrival, 1)
@@ -95,7 +96,7 @@
 	}
 }
 
-// recordForecastError records by how much a wait was longer than its forecast, or shorter if that is negative.
+// recordForecastError records by how much a wait was longer than its forecast, or shorter if the error is negative.
 func (e *Entry) recordForecastError(kind string, forecastError time.Duration) {
 	if forecastError < 0 {
 		e.forecastErrors.Record(kind+" shorter", -forecastError)
@@ -104,9 +105,9 @@
 	e.forecastErrors.Record(kind+" longer", forecastError)
 }
 
-// loggerFor returns the logger of a decision. The steps of a job that goes well are for debugging (the ids of accepted jobs
-// are logged together, see acceptedJobs), and jobs completed within their objective have a limit of their own, so that they
-// do not crowd out the rest.
+// loggerFor returns the logger for a decision. The steps of a successful job are logged at debug level (the ids of
+// accepted jobs are logged in batches, see acceptedJobs). Jobs completed within their objective have a rate limit of their
+// own, so that they do not crowd out other lines.
 func (e *Entry) loggerFor(decision dispatch.Decision) log.Logger {
 	switch decision := decision.(type) {
 	case dispatch.DecisionAccepted, dispatch.DecisionPlaced, dispatch.DecisionHandedOver:
@@ -179,7 +180,7 @@
 	}
 }
 
-// detailOf returns the field "detail" of a decision, empty if its message says everything.
+// detailOf returns the field "detail" of a decision; empty if there is nothing to add to the message.
 func detailOf(decision dispatch.Decision) string {
 	switch d := decision.(type) {
 	case dispatch.DecisionAccepted:
@@ -214,7 +215,7 @@
 	}
 }
 
-// describePlaced returns the forecast for the job, empty if there was none.
+// describePlaced returns the forecast for the job; empty if there was none.
 func describePlaced(d dispatch.DecisionPlaced) string {
 	if !d.Expected.IsKnown {
 		return ""
@@ -222,7 +223,7 @@
 	return "expected: " + d.Expected.String()
 }
 
-// describeEnd returns the outcome of a run, its reason, and for a lost run how many the task has lost so far.
+// describeEnd returns the outcome of a run, its reason, and for a lost run the number of runs that the task has lost.
 func describeEnd(d dispatch.DecisionEnded) string {
 	text := d.Outcome.String() + " " + d.Reason
 	if d.Outcome == runner.OutcomeLost {
@@ -231,7 +232,8 @@
 	return text
 }
 
-// describeCrashes returns which workers crashed under a task, how long after the start of its run, and whether that may have ended before.
+// describeCrashes lists the workers that crashed during a task's runs, with the age of the run at the crash. A run that may
+// have ended before the crash is marked as possible.
 func describeCrashes(crashes []dispatch.Crash) string {
 	text := fmt.Sprintf("%d workers crashed under the task:", len(crashes))
 	for _, c := range crashes {
@@ -244,7 +246,7 @@
 	return text
 }
 
-// outcomeOf returns the word for an answer in logs and metrics.
+// outcomeOf returns the name of an answer's outcome in logs and metrics.
 func outcomeOf(answer dispatch.Answer) string {
 	switch answer.(type) {
 	case dispatch.Completed:
@@ -260,7 +262,7 @@
 	}
 }
 
-// describeAnswer returns the outcome of a job, its reason, and the slowest tasks if the answer came late.
+// describeAnswer returns the outcome of a job, its reason, and the slowest tasks if the answer was late.
 func describeAnswer(d dispatch.DecisionAnswered) string {
 	text := outcomeOf(d.Answer)
 	switch answer := d.Answer.(type) {
@@ -280,7 +282,7 @@
 	return text + late.String() + ")"
 }
 
-// describeProgress returns the state of a task with its latest run.
+// describeProgress returns the state of a task and of its latest run.
 func describeProgress(p dispatch.TaskProgress) string {
 	if p.Run == 0 {
 		return p.Task + " not placed"
--- a/internal/entry/log_test.go
+++ b/internal/entry/log_test.go
@@ -28,7 +28,7 @@
 
 var update = flag.Bool("update", false, "write the log lines of this run to testdata/decisions.log")
 
-// decisionLog logs the decisions of a dispatcher on virtual time as an entry does.
+// decisionLog logs the decisions of a dispatcher in virtual time, as an entry does.
 type decisionLog struct {
 	entry      *Entry
 	dispatcher *dispatch.Dispatcher
@@ -36,7 +36,7 @@
 	out        bytes.Buffer
 }
 
-// newDecisionLog returns a log whose lines name the logger that wrote them in the field "logger".
+// newDecisionLog returns a log whose lines name their logger in the field "logger".
 func newDecisionLog() *decisionLog {
 	l := &decisionLog{
 		dispatcher: dispatch.New(dispatch.Limits{Jobs: 3}, rand.New(rand.NewPCG(1, 2))),
@@ -104,7 +104,7 @@
 	l := newDecisionLog()
 	l.addAgent("a")
 
-	// Answers within the objective, after it, and with a reason for the end of the run.
+	// Answers within the objective and after it, and a run that ends with a reason.
 	l.submit("intime", 1)
 	l.submit("intime", 1)
 	l.wait(12345 * time.Microsecond)
@@ -118,7 +118,7 @@
 	l.run("a", "overtime.0.0.1", 1, runner.OutcomeDone, "")
 	l.load("a", 3, 1)
 
-	// Failed, cancelled, and left by the caller.
+	// Failed, cancelled, and abandoned by the caller.
 	l.submit("failed", 1)
 	l.run("a", "failed.0.0.0", 1, runner.OutcomeFailed, "exit status 1")
 	l.load("a", 4, 1)
@@ -128,7 +128,7 @@
 	l.handle(dispatch.CallerLeft{Job: "left", Waiter: 1})
 	l.load("a", 6, 1)
 
-	// Refused on arrival and after a wait; a job whose time is over with a task that was never placed.
+	// Refused on arrival and after a wait; a job that times out with a task that was never placed.
 	l.submit("full", 3)
 	l.submit("waits", 1)
 	l.submit("waits2", 1)
@@ -137,7 +137,7 @@
 	l.wait(1100 * time.Millisecond)
 	l.load("a", 8, 1)
 
-	// A run that is stopped on a slow worker and started elsewhere.
+	// A run that is stopped on a slow worker and restarted elsewhere.
 	l.run("a", "full.0.0.0", 1, runner.OutcomeStopped, "")
 	l.run("a", "full.0.0.1", 1, runner.OutcomeStopped, "")
 	l.submit("slow", 1)
@@ -151,19 +151,19 @@
 	l.run("b", "slow.0.0.0", 3, runner.OutcomeDone, "")
 	l.run("a", "slow.0.0.0", 3, runner.OutcomeDone, "")
 
-	// Agents that do not answer, return, refuse tasks and are lost.
+	// Agents that stop responding, recover, refuse tasks and lose their session.
 	l.handle(dispatch.AgentUnresponsive{Agent: "a"}, dispatch.AgentUnresponsive{Agent: "a"}, dispatch.AgentResponsive{Agent: "a"})
 	l.handle(dispatch.LoadReceived{Agent: "a", Handled: 20, Load: runner.Load{Slowness: 1}})
 	l.load("a", 20, 1)
 	l.handle(dispatch.AgentDown{Agent: "b"})
 
-	// Durable jobs: one is done, one is dropped.
+	// Durable jobs: one completes, one is dropped.
 	l.handle(dispatch.DurableAccepted{Job: newTestJob("durable", 1)})
 	l.run("a", "durable.0.0.0", 1, runner.OutcomeLost, "another life of the worker began")
 	l.run("a", "durable.0.0.0", 2, runner.OutcomeDone, "")
 	l.handle(dispatch.DurableAccepted{Job: newTestJob("moved", 1)}, dispatch.DurableDropped{Jobs: []string{"moved"}})
 
-	// Given up after two crashes.
+	// A job that is given up after two crashes.
 	l.submit("crashing", 1)
 	for _, incarnation := range []string{"vm-a", "vm-a2"} {
 		run := runner.CrashedRun{RunID: runner.RunID{Task: "crashing.0.0.0", Run: 1}, WasRunning: true, IsLatest: true}
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -17,9 +17,10 @@
 )
 
 const (
-	// tickInterval is the time between two ticks of the state machines, which refuse, expire and renew by time.
+	// tickInterval is the time between two ticks, on which the state machines handle time-outs, expiries and renewals.
 	tickInterval = 10 * time.Millisecond
-	// batchSize is the largest number of events that are handled together. One by one, an entry plans over all workers for each load.
+	// batchSize is the largest number of events handled together. The dispatcher plans over all workers once per batch;
+	// without batches it would do so for each load.
 	batchSize = 512
 )
 
@@ -59,7 +60,7 @@
 	}
 }
 
-// fillBatch adds the events that wait in the ring, up to the size of a batch.
+// fillBatch appends queued events, up to batchSize in all, without blocking.
 func (e *Entry) fillBatch(events []dispatch.Event) []dispatch.Event {
 	for len(events) < batchSize {
 		select {
@@ -72,7 +73,7 @@
 	return events
 }
 
-// post hands an event to the dispatcher and waits while the ring is full.
+// post queues an event for the dispatcher. It blocks while the queue is full.
 func (e *Entry) post(event dispatch.Event) {
 	select {
 	case e.events <- event:
@@ -80,7 +81,7 @@
 	}
 }
 
-// postDurable hands an event to the coordinator and waits while the ring is full.
+// postDurable queues an event for the coordinator. It blocks while the queue is full.
 func (e *Entry) postDurable(event durable.Event) {
 	select {
 	case e.durableEvents <- event:
@@ -88,7 +89,7 @@
 	}
 }
 
-// publishCounts stores the counts of the state machines where other goroutines read them.
+// publishCounts copies the counts of the state machines to where other goroutines and the metrics read them.
 func (e *Entry) publishCounts() {
 	jobs, _, agents := e.decider.dispatcher.Counts()
 	isJobsChanged := e.jobs.Swap(int64(jobs)) != int64(jobs)
@@ -105,10 +106,11 @@
 	e.ownedShards.Store(int64(shards))
 }
 
-// publishLearnedInterval is the time between two records of what was learned that other entries are told: as often as they are told at all.
+// publishLearnedInterval is the time between two updates of the learned data for other entries, which is that between two
+// exchanges.
 const publishLearnedInterval = timing.ExchangeInterval
 
-// publishLearned stores what the dispatcher has learned where exchanges read it.
+// publishLearned copies what the dispatcher has learned to the directory, from which exchanges read it.
 func (e *Entry) publishLearned(now time.Time) {
 	if !e.settings.ShareLearned || now.Sub(e.learnedPublished) < publishLearnedInterval {
 		return
@@ -119,7 +121,7 @@
 	e.metrics.Set(metric.KindsLearned, int64(len(kinds)))
 }
 
-// publishOwners stores the owners of the shards where other goroutines read them.
+// publishOwners copies the owners of the shards to where other goroutines read them.
 func (e *Entry) publishOwners() {
 	coordinator := e.decider.coordinator
 	if !coordinator.IsActive() {
@@ -135,7 +137,7 @@
 	e.choice.requireAll()
 }
 
-// perform carries out one effect of the state machines.
+// perform executes an effect of the state machines.
 func (e *Entry) perform(next effect) {
 	if next.durable != nil {
 		e.performDurable(next.durable)
@@ -171,7 +173,8 @@
 	}
 }
 
-// onSession sends to an agent. Without a session nothing is sent: the dispatcher hears of its end by an event.
+// onSession calls send with the connection to an agent. It does nothing if there is no session; the dispatcher learns of
+// the session's end from an event.
 func (e *Entry) onSession(id dispatch.AgentID, send func(*session.AgentConn)) {
 	if s, ok := e.sessions.get(id); ok {
 		send(s.conn)
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a peer's request header, idleTimeout an unused connection of a peer.
+	// headerTimeout limits the time to read a peer's request header, idleTimeout that of an idle connection.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = time.Minute
 )
 
-// servePeers serves other entries and agents: exchanges, announcements, requests to owners of shards and jobs that are handed over. The
-// clean-up closes the listener and all connections; it comes after the entry has stopped.
+// servePeers serves requests of other entries and of agents: exchanges, announcements, requests to owners of shards and
+// job hand-overs. The returned function closes the listener and all connections; call it after the entry has stopped.
 func servePeers(listener net.Listener, exchanger *cluster.Exchanger, local *Entry) func() {
 	mux := http.NewServeMux()
 	mux.Handle(durable.PathPrefix, durable.NewServer(local))
@@ -35,7 +35,7 @@
 	mux.Handle(handover.Path, handOvers)
 	mux.Handle("/", exchanger.Handler())
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	// Serve only returns when the listener is closed, which the clean-up does.
+	// Serve returns only once the listener is closed, which the returned function does.
 	go func() { _ = server.Serve(listener) }()
 	return func() {
 		_ = server.Close()
@@ -43,12 +43,12 @@
 	}
 }
 
-// KnowsEntries reports whether the number of known entries, this one included, is at least the one given.
+// KnowsEntries reports whether at least the given number of entries is known, including this one.
 func (e *Entry) KnowsEntries(entries int) bool {
 	return len(e.directory.Members(cluster.RoleEntry)) >= entries
 }
 
-// SetSeeds replaces the addresses of entries to exchange with while no others are known.
+// SetSeeds replaces Settings.Seeds.
 func (e *Entry) SetSeeds(seeds []string) {
 	e.seeds.Store(&seeds)
 }
@@ -61,8 +61,8 @@
 	return names
 }
 
-// register writes this entry's record to the store, and retries until it is written. The first failure is logged, and
-// the success after one.
+// register writes this entry's record to the store, retrying until it succeeds. Only the first failure and the recovery
+// are logged.
 func (e *Entry) register() {
 	for e.context.Err() == nil {
 		err := e.store.PutMember(e.self)
@@ -74,12 +74,12 @@
 	}
 }
 
-// firstExchangeDelay is the mean pause before the first exchange. The pause doubles with each exchange that fails, up to
-// timing.ExchangeInterval, which is that after one that succeeds. It is short as an entry that starts has learned nothing of the jobs that
-// come to it.
+// firstExchangeDelay is the mean delay before the first exchange. It is short because a starting entry has learned nothing
+// yet about the jobs it receives. The delay doubles with each failed exchange up to timing.ExchangeInterval, which is also
+// the mean delay after a successful one.
 const firstExchangeDelay = 50 * time.Millisecond
 
-// exchange exchanges the directory with one other entry after the other, so that members and configuration spread while
+// exchange periodically exchanges the directory with a random entry, so that members and configuration propagate while
 // the store does not answer.
 func (e *Entry) exchange() {
 	interval := firstExchangeDelay
@@ -90,7 +90,7 @@
 	}
 }
 
-// nextExchangeDelay returns the mean pause after an exchange.
+// nextExchangeDelay returns the mean delay after an exchange.
 func nextExchangeDelay(before time.Duration, hasSucceeded bool) time.Duration {
 	if hasSucceeded {
 		return timing.ExchangeInterval
@@ -98,7 +98,7 @@
 	return min(2*before, timing.ExchangeInterval)
 }
 
-// exchangeWith exchanges the directory with the entry at an address, and reports whether that succeeded.
+// exchangeWith exchanges the directory with the entry at an address and reports whether that succeeded.
 func (e *Entry) exchangeWith(address string) bool {
 	before, _ := e.directory.Document()
 	err := e.exchanger.ExchangeWith(e.context, address)
@@ -123,7 +123,7 @@
 	return addresses[rand.IntN(len(addresses))], true
 }
 
-// pause waits. It returns false if the process ends meanwhile.
+// pause waits for a duration. It returns false if the entry stops meanwhile.
 func (e *Entry) pause(d time.Duration) bool {
 	select {
 	case <-e.context.Done():
@@ -133,7 +133,7 @@
 	}
 }
 
-// Accept checks a configuration of another entry and takes it into use if it is newer. It implements cluster.Listener.
+// Accept validates a configuration from another entry and activates it if it is newer. It implements cluster.Listener.
 func (e *Entry) Accept(document []byte) (version uint64, err error) {
 	version, err = e.configurations.Accept(document)
 	if err != nil {
@@ -142,14 +142,14 @@
 	return version, err
 }
 
-// LearnedReceived hands what another entry has learned to the event loop. It implements cluster.Listener.
+// LearnedReceived passes what another entry has learned to the event loop. It implements cluster.Listener.
 func (e *Entry) LearnedReceived(kinds []learned.Kind) {
 	if e.settings.ShareLearned {
 		e.post(dispatch.LearnedReceived{Kinds: kinds})
 	}
 }
 
-// CrashReceived hands a crash of which another entry knew to the event loop. It implements cluster.Listener.
+// CrashReceived passes a worker crash reported by another entry to the event loop. It implements cluster.Listener.
 func (e *Entry) CrashReceived(crash cluster.Crash) {
 	e.post(dispatch.WorkerCrashed{Agent: dispatch.AgentID(crash.Agent), Crash: crash.Crash})
 }
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -10,11 +10,11 @@
 	"sailhead/internal/timing"
 )
 
-func TestThePauseBetweenExchangesDoublesUntilTheFirstSucceeds(t *testing.T) {
-	pause := firstExchangeDelay
+func TestTheDelayBetweenExchangesDoublesUntilOneSucceeds(t *testing.T) {
+	delay := firstExchangeDelay
 	for _, want := range []time.Duration{100, 200, 400, 450, 450} {
-		if pause = nextExchangeDelay(pause, false); pause != want*time.Millisecond {
-			t.Errorf("after a failure %s, want %s", pause, want*time.Millisecond)
+		if delay = nextExchangeDelay(delay, false); delay != want*time.Millisecond {
+			t.Errorf("after a failure %s, want %s", delay, want*time.Millisecond)
 		}
 	}
 	if got := nextExchangeDelay(firstExchangeDelay, true); got != timing.ExchangeInterval {
--- a/internal/entry/sessions.go
+++ b/internal/entry/sessions.go
@@ -19,23 +19,23 @@
 	"sailhead/internal/worker"
 )
 
-// livenessInterval is the time between two checks of the sessions for agents that do not answer: a sixth of timing.SuspectAfter.
+// livenessInterval is the time between two checks for unresponsive agents: a sixth of timing.SuspectAfter.
 const livenessInterval = 50 * time.Millisecond
 
 // epoch is the origin of the times in agentSession.
 var epoch = clock.Now()
 
-// agentSession is the session with one agent; it hands the agent's messages to the event loop. The session's reading
-// goroutine calls the methods of session.AgentHandler.
+// agentSession is the session with one agent and passes the agent's messages to the event loop. It implements
+// session.AgentHandler, whose methods are called by the session's reading goroutine.
 type agentSession struct {
 	entry *Entry
 	id    dispatch.AgentID
 	conn  *session.AgentConn
-	// lastMessage is when the last message came, in nanoseconds since epoch on the steady clock.
+	// lastMessage is when the last message arrived, in nanoseconds since epoch on the clock of package clock.
 	lastMessage atomic.Int64
-	// incarnation is that of the agent's process; 0 until its first ping.
+	// incarnation is the incarnation of the agent's process; 0 until its first ping.
 	incarnation atomic.Int64
-	// unresponsive is set once the dispatcher was told so; only the liveness duty uses it.
+	// unresponsive is set while the dispatcher considers the agent unresponsive; only watchLiveness uses it.
 	unresponsive bool
 }
 
@@ -44,23 +44,23 @@
 	s.lastMessage.Store(int64(clock.Since(epoch)))
 }
 
-// Incarnation records which process of the agent the session is with.
+// Incarnation records the incarnation of the agent's process.
 func (s *agentSession) Incarnation(incarnation int64) {
 	s.incarnation.Store(incarnation)
 }
 
-// Worker hands on the description of the agent's worker.
+// Worker passes on the description of the agent's worker.
 func (s *agentSession) Worker(record worker.Record) {
 	s.entry.post(dispatch.WorkerDescribed{Agent: s.id, Record: record})
 }
 
-// Load hands on the load of the agent's worker, in which the session's starts up to handled are counted.
+// Load passes on the load of the agent's worker, which includes the session's starts up to number handled.
 func (s *agentSession) Load(handled uint64, load runner.Load) {
 	s.entry.post(dispatch.LoadReceived{Agent: s.id, Handled: handled, Load: load})
 }
 
-// Update hands on the state of a run. An end that the agent resends until an owner has recorded it goes to the
-// coordinator: the dispatcher here may not know the job.
+// Update passes on the state of a run. An end that the agent resends until an owner has recorded it goes to the
+// coordinator, since this entry's dispatcher may not know the job.
 func (s *agentSession) Update(update runner.Update) {
 	if update.Unacknowledged {
 		s.entry.postDurable(durable.TaskEnded{Agent: s.id, Update: update})
@@ -69,12 +69,12 @@
 	s.entry.post(dispatch.RunUpdated{Agent: s.id, Update: update})
 }
 
-// Offer hands on an offer of resources.
+// Offer passes on an offer of resources.
 func (s *agentSession) Offer(offer runner.Offer) {
 	s.entry.post(dispatch.OfferReceived{Agent: s.id, Offer: offer})
 }
 
-// Crash hands on a crash of the agent's worker.
+// Crash passes on a crash of the agent's worker.
 func (s *agentSession) Crash(crash runner.Crash) {
 	s.entry.post(dispatch.WorkerCrashed{Agent: s.id, Crash: crash})
 }
@@ -118,14 +118,14 @@
 	return sessions
 }
 
-// serveSession hands an agent's messages to the event loop until the session ends, and returns why it ended.
+// serveSession passes an agent's messages to the event loop until the session ends, and returns why it ended.
 func (e *Entry) serveSession(ctx context.Context, agent cluster.Member, conn *session.AgentConn) error {
 	s := &agentSession{entry: e, id: dispatch.AgentID(agent.Name), conn: conn}
 	s.MessageReceived()
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
 	e.sessions.add(s)
-	// After the session was added, so that a change in between goes to the agent too.
+	// The state is sent after the session was added, so that the agent does not miss a change in between.
 	conn.SendEvacuations(e.directory.Evacuations())
 	e.post(dispatch.AgentUp{Agent: s.id})
 	err := conn.Serve(s)
@@ -134,7 +134,7 @@
 	return err
 }
 
-// watchLiveness suspects agents that stop answering and closes the sessions of those that stay silent.
+// watchLiveness reports agents that stop answering as unresponsive, and closes the sessions of those that stay silent.
 func (e *Entry) watchLiveness() {
 	ticker := time.NewTicker(livenessInterval)
 	defer ticker.Stop()
--- a/internal/entry/shards.go
+++ b/internal/entry/shards.go
@@ -15,16 +15,16 @@
 	"sailhead/internal/timing"
 )
 
-// shardView is what the event loop last published about the shards, for other goroutines. It is safe for concurrent use.
+// shardView is the state of the shards as last published by the event loop. It is safe for concurrent use.
 type shardView struct {
 	mu sync.Mutex
-	// claims are the owners by shard; nil for a shard without one.
+	// claims holds the owners by shard; nil for a shard without an owner.
 	claims [durable.Shards]*durable.Claim
-	// addresses are those of the other entries that own shards.
+	// addresses are the addresses of the other entries that own shards.
 	addresses []string
-	// hadDurableJobs is set once a durable job was known: without one nothing has to be asked.
+	// hadDurableJobs is set once there was a durable job. Until then no owner needs to be asked about jobs.
 	hadDurableJobs bool
-	// updated is when the store was last read or answered a watch; zero before that.
+	// updated is when the store was last read or last answered a watch; zero before that.
 	updated time.Time
 }
 
@@ -34,7 +34,7 @@
 	v.claims, v.addresses = claims, addresses
 }
 
-// storeUpdated records that the store answered now. It reports whether durable jobs are known for the first time.
+// storeUpdated records that the store answered now, and reports whether it is the first answer with durable jobs.
 func (v *shardView) storeUpdated(now time.Time, hasDurableJobs bool) (isFirst bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -66,8 +66,8 @@
 	return v.addresses, true
 }
 
-// mayHaveJobs reports whether there may be durable jobs. It is true if the store has not answered for
-// timing.StoreUpdateLifetime: another entry may have accepted the first one meanwhile.
+// mayHaveJobs reports whether there may be durable jobs. It returns true if the store has not answered for
+// timing.StoreUpdateLifetime, because another entry may have accepted the first durable job meanwhile.
 func (v *shardView) mayHaveJobs(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -83,25 +83,25 @@
 }
 
 const (
-	// ownerWait is how long a request waits for its shard to have an owner before the caller is sent away with a time to retry.
+	// ownerWait is how long a request waits for its shard to have an owner before the caller is asked to retry later.
 	ownerWait = 700 * time.Millisecond
-	// ownerPollInterval is the time between two reads of the owner.
+	// ownerPollInterval is the time between two attempts to reach the owner.
 	ownerPollInterval = 40 * time.Millisecond
-	// durableTimeout bounds the wait for an answer of the coordinator, which may have to wait for a write to the store.
-	// It is that of durable.Client, so that a forwarded request fails neither earlier nor later than a local one.
+	// durableTimeout limits the wait for an answer from the coordinator, which may wait for a write to the store. It equals
+	// the time-out of durable.Client, so that forwarded and local requests time out alike.
 	durableTimeout = 1500 * time.Millisecond
 )
 
-// ownerRequest is one request to the owner of a job's shard, in the two forms in which it is made.
+// ownerRequest is a request to the owner of a job's shard, in its local and its remote form.
 type ownerRequest struct {
 	job string
-	// local returns the event for the coordinator here, remote calls the owner at an address.
+	// local returns the event for this entry's coordinator, remote calls the owner at an address.
 	local  func(durable.Waiter) durable.Event
 	remote func(ctx context.Context, address string) durable.Answer
 }
 
-// askOwner asks the owner of a job's shard, here or at another entry. While nobody answers as the owner it tries again,
-// up to ownerWait.
+// askOwner sends a request to the owner of a job's shard, which may be this entry. It retries for up to ownerWait while
+// the shard has no owner or the asked entry is not the owner.
 func (e *Entry) askOwner(ctx context.Context, request ownerRequest) durable.Answer {
 	deadline := clock.Now().Add(ownerWait)
 	for {
@@ -127,8 +127,8 @@
 	}
 }
 
-// AskLocal posts an event with a waiter to the coordinator and returns its answer: InDoubt if none comes in time, or if
-// the context or the process ends first.
+// AskLocal posts an event with a waiter to the coordinator and returns its answer. It returns InDoubt if none arrives in
+// time, or if the context is cancelled or the entry stops first.
 func (e *Entry) AskLocal(ctx context.Context, event func(durable.Waiter) durable.Event) durable.Answer {
 	waiter, answered := e.durableWaiters.add()
 	defer e.durableWaiters.remove(waiter)
@@ -145,8 +145,8 @@
 	}
 }
 
-// SubmitDurable hands a durable job to the owner of its shard and returns the owner's answer. The first one makes the
-// entries claim shards.
+// SubmitDurable submits a durable job to the owner of its shard and returns the owner's answer. The first durable job
+// makes the entries claim shards.
 func (e *Entry) SubmitDurable(ctx context.Context, job dispatch.Job) durable.Answer {
 	e.metrics.Add(metric.JobsReceived, 1)
 	e.postDurable(durable.ActivationRequested{})
@@ -157,11 +157,11 @@
 	})
 	known, ok := answer.(durable.Known)
 	if !ok {
-		_ = e.limitedLogger.Log("msg", "kept job not taken", "job", job.ID, "kind", job.Kind.Name, "answer", describeDurable(answer))
+		_ = e.limitedLogger.Log("msg", "durable job not accepted", "job", job.ID, "kind", job.Kind.Name, "answer", describeDurable(answer))
 		return answer
 	}
 	e.metrics.Add(metric.JobsKept, 1)
-	_ = e.successLogger.Log("msg", "kept job taken", "job", job.ID, "kind", job.Kind.Name, "state", known.State)
+	_ = e.successLogger.Log("msg", "durable job accepted", "job", job.ID, "kind", job.Kind.Name, "state", known.State)
 	return answer
 }
 
@@ -183,19 +183,20 @@
 	})
 }
 
-// HasDurableJobs reports whether there may be durable jobs, so that a job that is unknown here has to be asked for.
+// HasDurableJobs reports whether there may be durable jobs, in which case the owner must be asked about a job that is
+// unknown here.
 func (e *Entry) HasDurableJobs() bool {
 	return e.shards.mayHaveJobs(clock.Now())
 }
 
-// pendingCount is one owner's number of jobs that have not begun; ok is false if it is not known.
+// pendingCount is one owner's number of jobs that have not started; ok is false if the number is unknown.
 type pendingCount struct {
 	jobs int
 	ok   bool
 }
 
-// Pending counts the accepted jobs of a kind of which no task has begun, at all owners; ok is false if an owner is not
-// known or does not answer. Only durable jobs count: any other job is accepted by its final answer.
+// Pending counts the accepted jobs of a kind without a started task over all owners; ok is false if an owner is unknown or
+// does not answer. Only durable jobs count, since other jobs are accepted only with their final answer.
 func (e *Entry) Pending(ctx context.Context, kind string) (jobs int, ok bool) {
 	if !e.HasDurableJobs() {
 		return 0, true
@@ -220,8 +221,8 @@
 	return total, ok
 }
 
-// PendingLocal counts the jobs of a kind that are owned here and have not begun. The count is not complete while the
-// jobs of a shard that is claimed here are not read yet, or if the context or the process ended first.
+// PendingLocal counts the jobs of a kind that are owned here and have not started. The count is incomplete while the jobs
+// of a shard claimed here have not been loaded, or if the context is cancelled or the entry stops first.
 func (e *Entry) PendingLocal(ctx context.Context, kind string) (jobs int, isComplete bool) {
 	waiter, answered := e.pendingWaiters.add()
 	e.postDurable(durable.PendingRequested{Kind: kind, Waiter: waiter})
@@ -229,15 +230,15 @@
 	return reply.Jobs, ok && reply.IsComplete
 }
 
-// SurrenderLocal releases a shard that another entry has claimed, and returns once nothing more is started for it.
+// SurrenderLocal releases a shard that another entry has claimed, and returns once no more tasks are started for it here.
 func (e *Entry) SurrenderLocal(ctx context.Context, shard durable.Shard, token durable.Token) {
 	waiter, answered := e.surrenderWaiters.add()
 	e.postDurable(durable.SurrenderRequested{Shard: shard, Token: token, Waiter: waiter})
-	// Without an answer the other entry has left, or this process ends: both make the result needless.
+	// There is no answer only if the other entry has left or this one is stopping; nobody needs the result then.
 	_, _ = await(ctx, e, e.surrenderWaiters, waiter, answered)
 }
 
-// describeDurable returns an answer as it is logged.
+// describeDurable returns the log value of an answer.
 func describeDurable(answer durable.Answer) string {
 	switch a := answer.(type) {
 	case durable.Known:
--- a/internal/entry/shards_test.go
+++ b/internal/entry/shards_test.go
@@ -11,23 +11,24 @@
 	"sailhead/internal/timing"
 )
 
-func TestDurableJobsArePossibleWhileTheStoreWasNotHeardOf(t *testing.T) {
+// An entry may rule out durable jobs only as long as the store has recently answered that there are none.
+func TestDurableJobsArePossibleWhileTheStoreDoesNotAnswer(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var v shardView
 	if !v.mayHaveJobs(now) {
 		t.Error("ruled out before the store was read")
 	}
 	if v.storeUpdated(now, false) || v.mayHaveJobs(now.Add(timing.StoreUpdateLifetime)) {
-		t.Error("possible although the store has just said that there are none")
+		t.Error("possible although the store has just answered that there are none")
 	}
 	if !v.mayHaveJobs(now.Add(timing.StoreUpdateLifetime + time.Millisecond)) {
-		t.Error("ruled out although the store was not heard of for long")
+		t.Error("ruled out although the store has not answered for longer than timing.StoreUpdateLifetime")
 	}
 	if !v.storeUpdated(now, true) || v.storeUpdated(now, true) {
-		t.Error("the first durable job is not reported once")
+		t.Error("the first durable job is not reported exactly once")
 	}
 	if !v.mayHaveJobs(now) {
-		t.Error("ruled out after the store has said that there are some")
+		t.Error("ruled out after the store has answered that there are some")
 	}
 }
 
--- a/internal/entry/shutdown.go
+++ b/internal/entry/shutdown.go
@@ -14,43 +14,44 @@
 	"sailhead/internal/durable"
 )
 
-// A planned stop of an entry, in order, all within Settings.StopTimeout:
+// The graceful shutdown of an entry has these steps, all within Settings.StopTimeout:
 //
-//  1. The readiness page says no, and jobs that would not end before the stop are refused (BeginShutdown).
-//  2. The entry keeps serving for balancerDelay, since the balancer may still send connections, and after that while
-//     connections arrive: if no other entry is ready the balancer keeps sending them.
-//  3. It stops listening, and waits until no job is under way and all shards are released.
-//  4. Requests that are still open get answerTimeout to be answered.
+//  1. The readiness check fails, and jobs that would not end before the shutdown are refused (BeginShutdown).
+//  2. The entry continues to serve for balancerDrainTime, since the load balancer may still send connections, and after
+//     that while connections arrive: if no other entry is ready, the load balancer keeps sending them.
+//  3. It stops listening, and waits until no job is open and all shards are released.
+//  4. Requests that are still open get answerTimeout to complete.
 const (
-	// exitMargin is kept of StopTimeout for the end of the process.
+	// exitMargin is the part of StopTimeout reserved for the exit of the process.
 	exitMargin = 400 * time.Millisecond
-	// releaseMargin is how long before the end of the stop the shards are released at the latest, so that the commit that records the
-	// release is written.
+	// releaseMargin is the least time from the release of the shards to the end of the shutdown, in which the commit that
+	// records the release is written.
 	releaseMargin = 1200 * time.Millisecond
-	// balancerDrainTime is how long after BeginShutdown the balancer may send new connections. It asks every second, and an answer may be late.
+	// balancerDrainTime is how long after BeginShutdown the load balancer may still send new connections. It checks
+	// readiness every second, and an answer may be late.
 	balancerDrainTime = 2300 * time.Millisecond
-	// connectionQuietTime is how long no connection must have come before the entry stops listening.
+	// connectionQuietTime is how long no connection must have arrived before the entry stops listening.
 	connectionQuietTime = 250 * time.Millisecond
-	// answerTimeout is how long the last open requests may take to be answered.
+	// answerTimeout limits the time to answer the last open requests.
 	answerTimeout = 250 * time.Millisecond
-	// shutdownPollInterval is the time between two checks of what a stop waits for.
+	// shutdownPollInterval is the time between two checks of a condition that the shutdown waits for.
 	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// Ingress is the server of the platform's callers, as a planned stop uses it.
+// Ingress is the part of the server for the platform's callers that a graceful shutdown uses.
 type Ingress interface {
-	// SinceConnection returns the time since the last connection came.
+	// SinceConnection returns the time since the last connection was accepted.
 	SinceConnection() time.Duration
-	// StopListening accepts no new connections; open ones are served on.
+	// StopListening stops accepting connections. Open ones continue to be served.
 	StopListening()
-	// CloseIdle closes the connections without an open request, and the others after their next answer.
+	// CloseIdle closes connections without an open request now, and the others after their next response.
 	CloseIdle()
-	// Shutdown waits for open requests until the context ends.
+	// Shutdown waits for open requests until the context is cancelled.
 	Shutdown(ctx context.Context) error
 }
 
-// Shutdown performs a planned stop and returns when no request is open or the time is over. The error says that open
-// requests were cut off. The clean-up of New comes after it.
+// Shutdown shuts the entry down gracefully. It returns once no request is open or Settings.StopTimeout is nearly over, and
+// an error if open requests were aborted. Call the function returned by New afterwards.
 func (e *Entry) Shutdown(ingress Ingress) error {
 	stopBy := e.BeginShutdown()
 	time.Sleep(min(balancerDrainTime, clock.Until(stopBy)))
@@ -68,7 +69,7 @@
 }
 
 // BeginShutdown makes the entry not ready, refuses jobs that would not end in time, and releases the shards. It returns
-// when the process must have answered everything.
+// the time by which all requests must have been answered.
 func (e *Entry) BeginShutdown() (stopBy time.Time) {
 	e.shuttingDown.Store(true)
 	stopBy = clock.Now().Add(e.settings.StopTimeout - exitMargin)
@@ -78,21 +79,23 @@
 	return stopBy
 }
 
-// IsShuttingDown reports whether a planned stop has begun.
+// IsShuttingDown reports whether a graceful shutdown has started.
 func (e *Entry) IsShuttingDown() bool {
 	return e.shuttingDown.Load()
 }
 
-// IsReady reports whether the entry takes jobs: it has a configuration and an agent, and is not shutting down.
+// IsReady reports whether the entry accepts jobs: it has a configuration and a session with an agent, and is not shutting
+// down.
 func (e *Entry) IsReady() bool {
 	version, _ := e.directory.Document()
 	return !e.shuttingDown.Load() && version > 0 && e.agents.Load() > 0
 }
 
-// IsIdle reports whether no job is under way, no request waits for an answer and no shard is owned here.
+// IsIdle reports whether no job is open, no submission or durable-job request waits for an answer, and no shard is owned
+// here.
 func (e *Entry) IsIdle() bool {
 	return e.jobs.Load() == 0 && e.jobWaiters.count() == 0 && e.ownedShards.Load() == 0 && e.durableWaiters.count() == 0
 }
 
-// JobsOpen returns the number of jobs under way, those that were handed over included.
+// JobsOpen returns the number of open jobs, including those handed over to other entries.
 func (e *Entry) JobsOpen() int { return int(e.jobs.Load()) }
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -15,37 +15,38 @@
 	"sailhead/internal/timing"
 )
 
-// Store is the platform's store as an entry follows it. The methods that read and watch are called by one goroutine only.
+// Store is the part of the platform's store that an entry uses for members, configuration and claims. The methods that
+// read and watch are called by one goroutine only.
 type Store interface {
-	// ReadConfiguration returns the configuration and the evacuated availability zones, which are read sooner than everything.
+	// ReadConfiguration returns the configuration and the evacuated availability zones only, which is faster than Read.
 	ReadConfiguration() (StoreUpdate, error)
-	// Read returns what the store holds.
+	// Read returns the full content of the store.
 	Read() (StoreUpdate, error)
-	// Watch waits for changes since the last reading and returns them; none after a while. ok is false if the store has
-	// dropped that part of its history, so that it must be read again.
+	// Watch waits for changes since the last Read or Watch and returns them, or an empty update after a time-out. ok is
+	// false if the store no longer has that part of its history, in which case it must be read again.
 	Watch() (update StoreUpdate, ok bool, err error)
 	// PutMember writes a member's record.
 	PutMember(cluster.Member) error
-	// RemoveMember removes a member's record if it is still of the incarnation given.
+	// RemoveMember removes a member's record if it still has the given incarnation.
 	RemoveMember(cluster.Member) error
 }
 
-// StoreUpdate is what a reading or a watch of the store brought.
+// StoreUpdate is the result of a read or a watch of the store.
 type StoreUpdate struct {
-	// Document is the operators' configuration; empty if it has not changed.
+	// Document is the operators' configuration; empty if it is unchanged.
 	Document []byte
 	Members  []cluster.Member
-	// Claims are the claims of shards that were written, ClaimsGone those that were removed.
+	// Claims are the shard claims that were written, ClaimsGone those that were removed.
 	Claims     []durable.Claim
 	ClaimsGone []durable.ClaimGone
-	// Evacuations are the changes of evacuated availability zones, and after a reading of all the zones that are evacuated.
+	// Evacuations are the changed availability zones after a watch, and all evacuated ones after a read.
 	Evacuations evacuation.State
 	// HasDurableJobs is set if there was ever a durable job.
 	HasDurableJobs bool
 }
 
-// followStore reads the store, then applies its changes as they come. While the store does not answer, members and
-// configuration come from other entries (exchange).
+// followStore reads the store and then applies its changes as they arrive. While the store does not answer, members and
+// configuration come from other entries (see exchange).
 func (e *Entry) followStore() {
 	e.readConfiguration()
 	isCurrent := false
@@ -69,8 +70,9 @@
 	}
 }
 
-// readConfiguration takes the configuration into use before the members are read, of which there may be thousands: without it an entry
-// rejects all jobs. If the store does not answer, followStore reads it again with everything else.
+// readConfiguration activates the configuration before the members are read, of which there may be thousands, since an
+// entry without a configuration rejects all jobs. If the store does not answer, followStore reads the configuration
+// together with everything else.
 func (e *Entry) readConfiguration() {
 	update, err := e.store.ReadConfiguration()
 	e.dependencies.observe("store", err)
@@ -81,7 +83,8 @@
 	e.applyConfiguration(update.Document)
 }
 
-// nextUpdate reads the store if its history is not known, and waits for changes otherwise.
+// nextUpdate watches the store for changes if isCurrent is set, and reads the store otherwise. It updates isCurrent, which
+// is false when the next call must read the store.
 func (e *Entry) nextUpdate(isCurrent *bool) (StoreUpdate, error) {
 	if !*isCurrent {
 		update, err := e.store.Read()
@@ -95,8 +98,8 @@
 	return update, err
 }
 
-// applyUpdate takes a change of the store into use. The evacuations come first: nothing is placed without agents or a
-// configuration, so neither comes before it is known which availability zones are evacuated.
+// applyUpdate applies an update from the store. Evacuations are applied first: tasks are placed only once there are agents
+// and a configuration, so none is placed before the evacuated availability zones are known.
 func (e *Entry) applyUpdate(update StoreUpdate) {
 	e.applyEvacuations(update.Evacuations)
 	for _, m := range update.Members {
@@ -109,14 +112,14 @@
 	e.applyClaims(update)
 }
 
-// applyEvacuations takes into use which availability zones are evacuated.
+// applyEvacuations merges changes of evacuated availability zones into the directory.
 func (e *Entry) applyEvacuations(received evacuation.State) {
 	if state, isChanged := e.directory.MergeEvacuations(received); isChanged {
 		e.EvacuationsReceived(state)
 	}
 }
 
-// applyConfiguration takes a configuration into use if it is newer. One that cannot be read changes nothing.
+// applyConfiguration activates a configuration if it is newer. An invalid configuration is logged and ignored.
 func (e *Entry) applyConfiguration(document []byte) {
 	if len(document) == 0 {
 		return
@@ -131,7 +134,7 @@
 	}
 }
 
-// applyClaims hands the changed claims to the coordinator.
+// applyClaims passes changed claims to the coordinator.
 func (e *Entry) applyClaims(update StoreUpdate) {
 	isFirst := e.shards.storeUpdated(clock.Now(), update.HasDurableJobs)
 	for _, claim := range update.Claims {
--- a/internal/entry/submit.go
+++ b/internal/entry/submit.go
@@ -10,7 +10,8 @@
 	"sailhead/internal/metric"
 )
 
-// Submit returns the final answer to a job. If the context ends first, the caller has left and the job is dropped.
+// Submit submits a job and returns its final answer. If the context is cancelled first, the caller has left and the job is
+// dropped.
 func (e *Entry) Submit(ctx context.Context, job dispatch.Job) dispatch.Answer {
 	e.metrics.Add(metric.JobsReceived, 1)
 	waiter, answered := e.jobWaiters.add()
@@ -32,7 +33,7 @@
 	}
 }
 
-// answerOr returns the answer that has come already, or another one if there is none.
+// answerOr returns the answer if it has already arrived, and fallback otherwise.
 func answerOr(answered <-chan dispatch.Answer, fallback dispatch.Answer) dispatch.Answer {
 	select {
 	case answer := <-answered:
@@ -42,8 +43,8 @@
 	}
 }
 
-// await returns the answer to a request that was posted to the event loop. It returns false if the context or the
-// process ends first.
+// await waits for the answer to a request that was posted to the event loop. It returns false if the context is cancelled
+// or the entry stops first.
 func await[ID ~uint64, Answer any](ctx context.Context, e *Entry, w *waiters[ID, Answer], waiter ID, answered <-chan Answer) (answer Answer, ok bool) {
 	defer w.remove(waiter)
 	select {
@@ -55,16 +56,16 @@
 	return answer, false
 }
 
-// State reports whether a job is under way and whether a task of it may have begun.
+// State reports whether a job is open and whether any of its tasks may have started.
 func (e *Entry) State(ctx context.Context, id string) (known, started bool) {
 	waiter, answered := e.stateWaiters.add()
 	e.post(dispatch.StateRequested{Job: id, Waiter: waiter})
-	// Without an answer the caller has left, or the process ends: nobody reads the result.
+	// There is no answer only if the caller has left or the entry is stopping; nobody reads the result then.
 	state, _ := await(ctx, e, e.stateWaiters, waiter, answered)
 	return state != dispatch.JobUnknown, state == dispatch.JobStarted
 }
 
-// Cancel ends a job and reports whether it was under way.
+// Cancel cancels a job and reports whether it was open.
 func (e *Entry) Cancel(ctx context.Context, id string) bool {
 	waiter, answered := e.cancelWaiters.add()
 	e.post(dispatch.CancelRequested{Job: id, Waiter: waiter})
@@ -72,7 +73,7 @@
 	return ok && known
 }
 
-// Rejected logs and counts a request that the platform's adapter answered with an error without submitting it.
+// Rejected logs and counts a request that the platform's adapter rejected without submitting a job.
 func (e *Entry) Rejected(path string, status int, reason string) {
 	e.metrics.Add(metric.RequestsRejected, 1)
 	version, _ := e.directory.Document()
--- a/internal/entry/submit_test.go
+++ b/internal/entry/submit_test.go
@@ -11,7 +11,7 @@
 	"sailhead/internal/metric"
 )
 
-// newSubmitTestEntry returns an entry without an event loop, and the function that ends it.
+// newSubmitTestEntry returns an entry without an event loop, and a function that stops it.
 func newSubmitTestEntry(ring int) (*Entry, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Entry{
@@ -19,7 +19,7 @@
 	}, cancel
 }
 
-// callerContext is a context that does something as soon as a request waits for the caller to leave.
+// callerContext is a context that calls onWait when a request starts to wait for its cancellation.
 type callerContext struct {
 	context.Context
 	onWait func()
@@ -30,7 +30,7 @@
 	return c.Context.Done()
 }
 
-// TestAnAnswerIsNotLostWithTheEntry answers a job and ends the entry before the request looks for either.
+// If a job is answered and the entry stops before the request checks for either, the request must return the answer.
 func TestAnAnswerIsNotLostWithTheEntry(t *testing.T) {
 	for range 50 {
 		e, end := newSubmitTestEntry(1)
@@ -45,16 +45,17 @@
 	}
 }
 
-// TestAFullRingRefusesForTheEntrysOwnSake submits a job while the event loop does not keep up. An entry that has handed it over may run it itself.
-func TestAFullRingRefusesForTheEntrysOwnSake(t *testing.T) {
+// A job that is refused because the event loop does not keep up must be marked as a local refusal, so that an entry that
+// has handed it over may run it itself.
+func TestAFullQueueRefusesLocally(t *testing.T) {
 	e, end := newSubmitTestEntry(1)
 	defer end()
 	e.events <- dispatch.Ticked{}
 	answer, isNotRun := e.Submit(t.Context(), dispatch.Job{ID: "a"}).(dispatch.NotRun)
 	if !isNotRun || !answer.IsLocal {
-		t.Errorf("got %+v, want a refusal for the entry's own sake", answer)
+		t.Errorf("got %+v, want a local refusal", answer)
 	}
 	if waiting := e.jobWaiters.count(); waiting > 0 {
-		t.Errorf("%d requests wait", waiting)
+		t.Errorf("%d requests are still waiting", waiting)
 	}
 }
