--- a/internal/agent/call.go
+++ b/internal/agent/call.go
@@ -35,13 +35,13 @@
 // that a listing is not considered newer than it is. A late answer does not count as that of a long poll, since the next
 // long poll may already be open.
 func (a *Agent) callRenew(e runner.CallRenew, sent time.Time) {
-	began := clock.Now()
+	started := clock.Now()
 	var wasAnswered atomic.Bool
 	a.worker.Renew(e.Incarnation, e.Renew, func(result worker.RenewResult) {
 		ended := clock.Now()
 		isLate := wasAnswered.Swap(true)
 		a.post(runner.RenewAnswered{
-			Incarnation: e.Incarnation, Sent: sent, Took: ended.Sub(began), Ended: ended, Fence: e.Renew.Fence,
+			Incarnation: e.Incarnation, Sent: sent, Took: ended.Sub(started), Ended: ended, Fence: e.Renew.Fence,
 			LongPoll: e.Renew.Wait > 0 && !isLate, Result: result,
 		})
 	})
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -105,12 +105,12 @@
 // putRecord writes the record, retrying until it succeeds, and returns false if the agent stops first. Only the first
 // failure is logged; the success is logged with the number of attempts and the time taken.
 func (a *Agent) putRecord(member cluster.Member) bool {
-	began := time.Now()
+	started := time.Now()
 	for attempt := 1; ; attempt++ {
 		err := a.store.PutMember(member)
 		if err == nil {
 			_ = level.Info(a.logger).Log("msg", "registered in the store", "worker", incarnationOf(member.Worker),
-				"tries", attempt, "after", time.Since(began).Round(time.Millisecond))
+				"tries", attempt, "after", time.Since(started).Round(time.Millisecond))
 			return true
 		}
 		if attempt == 1 {
--- a/internal/entry/accepted.go
+++ b/internal/entry/accepted.go
@@ -10,8 +10,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// maxAcceptedIDs is the largest number of job ids in one log line. Ids have 16 characters, so a line stays below 600
-// bytes.
+// maxAcceptedIDs is the largest number of job ids in one log line. Ids from callers have 16 characters, so that a line
+// stays below 600 bytes.
 const maxAcceptedIDs = 32
 
 // acceptedJobs batches the ids of accepted jobs for the log. Without them, a job that is lost with its entry would leave
--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -20,9 +20,9 @@
 	// failure up to maxRedialDelay.
 	minRedialDelay = 100 * time.Millisecond
 	maxRedialDelay = 800 * time.Millisecond
-	// recordExpiry is how long an agent must be unreachable before its record is removed, as that of a replaced VM. An agent
+	// forgetAfter is how long an agent must be unreachable before its record is removed, as that of a replaced VM. An agent
 	// that was only disconnected announces itself again.
-	recordExpiry = 10 * time.Minute
+	forgetAfter = 10 * time.Minute
 )
 
 // agentDialer controls the goroutine that keeps a session with one agent open.
@@ -110,7 +110,7 @@
 }
 
 // keepSession opens a session with an agent and reopens it whenever it ends, until the context is cancelled or the agent
-// was unreachable for recordExpiry.
+// was unreachable for forgetAfter.
 func (e *Entry) keepSession(ctx context.Context, agent cluster.Member) {
 	delay := minRedialDelay
 	reached := clock.Now()
@@ -126,7 +126,7 @@
 		if clock.Since(reached) > unreachableAfter {
 			e.choice.setUnreachable(agent.Name, true)
 		}
-		if clock.Since(reached) > recordExpiry {
+		if clock.Since(reached) > forgetAfter {
 			e.removeAgent(agent)
 			return
 		}
@@ -139,9 +139,9 @@
 	}
 }
 
-// removeAgent removes the record of an agent that was unreachable for recordExpiry.
+// removeAgent removes the record of an agent that was unreachable for forgetAfter.
 func (e *Entry) removeAgent(agent cluster.Member) {
-	_ = level.Info(e.logger).Log("msg", "removing unreachable agent", "agent", agent.Name, "address", agent.Address, "not_reached_for", recordExpiry)
+	_ = level.Info(e.logger).Log("msg", "removing unreachable agent", "agent", agent.Name, "address", agent.Address, "not_reached_for", forgetAfter)
 	if err := e.store.RemoveMember(agent); err != nil {
 		_ = level.Warn(e.logger).Log("msg", "unable to remove the agent's record", "agent", agent.Name, "err", err)
 	}
--- a/internal/entry/choice_test.go
+++ b/internal/entry/choice_test.go
@@ -34,9 +34,9 @@
 		t.Fatalf("%d agents, want %d", len(before), subset.MinAgents)
 	}
 	c.setUnreachable(before[3], true)
-	during, lost, isChanged := c.choose(clock.Now(), "entry", agents, evacuation.State{}, 55)
-	if len(during) != subset.MinAgents+1 || lost != 1 || !isChanged || !slices.Contains(during, before[3]) {
-		t.Errorf("with one agent unreachable: %d agents, %d unavailable, changed %t", len(during), lost, isChanged)
+	during, unavailable, isChanged := c.choose(clock.Now(), "entry", agents, evacuation.State{}, 55)
+	if len(during) != subset.MinAgents+1 || unavailable != 1 || !isChanged || !slices.Contains(during, before[3]) {
+		t.Errorf("with one agent unreachable: %d agents, %d unavailable, changed %t", len(during), unavailable, isChanged)
 	}
 	c.setUnreachable(before[3], false)
 	if after, _, _ := c.choose(clock.Now().Add(time.Second), "entry", agents, evacuation.State{}, 55); !slices.Equal(after, before) {
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -20,7 +20,7 @@
 type Store interface {
 	// ReadConfiguration returns the configuration and the evacuated availability zones only, which is faster than Read.
 	ReadConfiguration() (StoreUpdate, error)
-	// Read returns the full content of the store.
+	// Read returns all fields of the update.
 	Read() (StoreUpdate, error)
 	// Watch waits for changes since the last Read or Watch and returns them, or an empty update after a time-out. ok is
 	// false if the store no longer has that part of its history, in which case it must be read again.
