--- a/internal/agent/call.go
+++ b/internal/agent/call.go
@@ -12,8 +12,8 @@
 	"sailhead/internal/worker"
 )
 
-// callStart starts a run, unless the lease of the entry's session has expired before the call is made: the goroutine may
-// have been delayed, and the entry may run the task elsewhere after that.
+// callStart starts a run, unless the lease of the entry's session has expired by the time of the call. The goroutine may
+// have been delayed, and after the expiry the entry may run the task elsewhere.
 func (a *Agent) callStart(e runner.CallStart) {
 	var result worker.StartResult = worker.Invalid{Reason: "the session ended before the start"}
 	sent := clock.Now()
@@ -31,16 +31,17 @@
 	a.post(runner.StopAnswered{Incarnation: e.Incarnation, Name: e.Stop.Name, Run: e.Stop.Run, Result: result})
 }
 
-// callRenew renews the leases. sent is when the runner asked for it, which is no later than the call: a listing must not
-// be taken for newer than it is. An answer that comes late is that of no long poll, as the next one may be under way.
+// callRenew renews the leases. sent is the time of the runner's request, which is never later than that of the call, so
+// that a listing is not considered newer than it is. A late answer does not count as that of a long poll, since the next
+// long poll may already be open.
 func (a *Agent) callRenew(e runner.CallRenew, sent time.Time) {
-	began := clock.Now()
+	started := clock.Now()
 	var wasAnswered atomic.Bool
 	a.worker.Renew(e.Incarnation, e.Renew, func(result worker.RenewResult) {
 		ended := clock.Now()
 		isLate := wasAnswered.Swap(true)
 		a.post(runner.RenewAnswered{
-			Incarnation: e.Incarnation, Sent: sent, Took: ended.Sub(began), Ended: ended, Fence: e.Renew.Fence,
+			Incarnation: e.Incarnation, Sent: sent, Took: ended.Sub(started), Ended: ended, Fence: e.Renew.Fence,
 			LongPoll: e.Renew.Wait > 0 && !isLate, Result: result,
 		})
 	})
