--- a/internal/overload/burst_test.go
+++ b/internal/overload/burst_test.go
@@ -13,9 +13,9 @@
 const (
 	// burstFrom and burstTo are the time of the bursts below; jobs come until playLength.
 	burstFrom, burstTo = 4 * time.Second, 8 * time.Second
-	playLength         = 11 * time.Second
-	// usualLoad is the load outside the bursts.
-	usualLoad = 0.62
+	arrivalsEnd        = 11 * time.Second
+	// baseLoad is the load outside the bursts.
+	baseLoad = 0.62
 )
 
 // burstPatterns are bursts of more work than fits: of one kind, of all, in one availability zone, at one entry.
@@ -38,11 +38,11 @@
 			t.Parallel()
 			b := pattern.burst
 			b.from, b.to = burstFrom, burstTo
-			s := newScarcity(1, 12, 69, usualLoad, b)
-			s.play(playLength)
+			s := newBurstSite(1, 12, 69, baseLoad, b)
+			s.simulate(arrivalsEnd)
 			t.Log("served on time during the burst:\n" + s.table(burstFrom, burstTo))
 			for _, k := range variedKinds {
-				share, jobs := s.served(during(burstTo+2*time.Second, playLength, k.Name, ""))
+				share, jobs := s.served(during(burstTo+2*time.Second, arrivalsEnd, k.Name, ""))
 				if share < 0.98 {
 					t.Errorf("%s: %.3f of the work of %d jobs is on time after the burst, want 0.98", k.Name, share, jobs)
 				}
@@ -52,7 +52,7 @@
 }
 
 // table returns the parts of the work that are served on time, by kind and zone, of the jobs that come in a time.
-func (s *scarcity) table(from, to time.Duration) string {
+func (s *burstSite) table(from, to time.Duration) string {
 	var text strings.Builder
 	for _, zone := range append([]string{""}, zones...) {
 		fmt.Fprintf(&text, "%-7s", zone)
--- a/internal/overload/containment_test.go
+++ b/internal/overload/containment_test.go
@@ -24,18 +24,18 @@
 	load, share float64
 	workers     int
 	kind        string
-	// others and same are the least parts of the jobs of other kinds, and of innocent jobs of the kind, that are on time.
-	others, same float64
+	// minOthers and minSameKind are the least parts of the jobs of other kinds, and of innocent jobs of the kind, that are on time.
+	minOthers, minSameKind float64
 }
 
-// play lets traffic without jobs that crash workers run for 2 s, then with them for 10 s, and returns what became of the jobs that were
+// simulate lets traffic without jobs that crash workers run for 2 s, then with them for 10 s, and returns what became of the jobs that were
 // submitted in these 10 s: those of other kinds and the innocent ones of the kind.
-func (c containmentCase) play(seed uint64) (others, same counts, crashing, crashes int) {
+func (c containmentCase) simulate(seed uint64) (others, same counts, crashing, crashes int) {
 	entries := max(c.workers/4, 4)
 	s := newSite(seed, entries, c.workers, min(c.workers, 48))
 	s.restartAfter = 3400 * time.Millisecond
 	for _, e := range s.entries {
-		s.every(450*time.Millisecond, func() { e.exchange() })
+		s.every(450*time.Millisecond, func() { e.exchangeCrashes() })
 	}
 	t := &traffic{site: s, load: c.load, crashingKind: c.kind}
 	t.start(12 * time.Second)
@@ -57,25 +57,25 @@
 // Grounds for its figures: see the bound of each case: what the workers that are left to the others can carry.
 func TestOtherKindsAreServedBesideAKindThatCrashesWorkers(t *testing.T) {
 	for _, c := range []containmentCase{
-		{load: 0.5, share: 0.1, workers: 11, kind: "lookup", others: 0.85, same: 0.3},
-		{load: 0.5, share: 0.1, workers: 70, kind: "reminder", others: 0.85, same: 0.3},
-		{load: 0.9, share: 0.05, workers: 70, kind: "lookup", others: 0.85, same: 0.25},
+		{load: 0.5, share: 0.1, workers: 11, kind: "lookup", minOthers: 0.85, minSameKind: 0.3},
+		{load: 0.5, share: 0.1, workers: 70, kind: "reminder", minOthers: 0.85, minSameKind: 0.3},
+		{load: 0.9, share: 0.05, workers: 70, kind: "lookup", minOthers: 0.85, minSameKind: 0.25},
 	} {
 		t.Run(fmt.Sprintf("%s/share=%.3f/load=%.1f/workers=%d", c.kind, c.share, c.load, c.workers), func(t *testing.T) {
 			t.Parallel()
 			var otherShare, sameShare float64
 			for seed := range *containmentSeeds {
-				others, same, crashing, crashes := c.play(seed + 1)
+				others, same, crashing, crashes := c.simulate(seed + 1)
 				otherShare += others.onTimeShare() / float64(*containmentSeeds)
 				sameShare += same.onTimeShare() / float64(*containmentSeeds)
 				t.Logf("seed %d: %d jobs crash workers, %d crashes; others %.3f on time of %d (%d given up); of the kind %.3f of %d (%d given up)", seed+1,
 					crashing, crashes, others.onTimeShare(), others.submitted, others.givenUp, same.onTimeShare(), same.submitted, same.givenUp)
 			}
-			if otherShare < c.others {
-				t.Errorf("%.3f of the others are on time, want %.2f", otherShare, c.others)
+			if otherShare < c.minOthers {
+				t.Errorf("%.3f of the others are on time, want %.2f", otherShare, c.minOthers)
 			}
-			if sameShare < c.same {
-				t.Errorf("%.3f of the innocent jobs of the kind are on time, want %.2f", sameShare, c.same)
+			if sameShare < c.minSameKind {
+				t.Errorf("%.3f of the innocent jobs of the kind are on time, want %.2f", sameShare, c.minSameKind)
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 					seeds := *containmentSeeds * max(1, 44/uint64(workers))
 					var others, same, crashes float64
 					for seed := range seeds {
-						o, s, _, n := c.play(seed + 1)
+						o, s, _, n := c.simulate(seed + 1)
 						others += o.onTimeShare() / float64(seeds)
 						same += s.onTimeShare() / float64(seeds)
 						crashes += float64(n) / float64(seeds)
--- a/internal/overload/crash_test.go
+++ b/internal/overload/crash_test.go
@@ -57,7 +57,7 @@
 		if crashes > most {
 			t.Errorf("%d workers crashed under %s, want %d at most", crashes, task, most)
 		}
-		if more := s.starts[task] - s.startsAtThird[task]; crashes >= 3 && more >= 3 {
+		if more := s.starts[task] - s.startsAtThirdCrash[task]; crashes >= 3 && more >= 3 {
 			t.Errorf("%s was started %d times more after three workers had crashed under it", task, more)
 		}
 	}
@@ -121,7 +121,7 @@
 		for k := range agentsEach {
 			e.connect(s.agents[dispatch.AgentID(fmt.Sprintf("agent-%d", i*agentsEach+k))])
 		}
-		s.every(450*time.Millisecond, func() { e.exchange() })
+		s.every(450*time.Millisecond, func() { e.exchangeCrashes() })
 	}
 	s.run(time.Second)
 	job := crashingJob("00000000000000ff")
@@ -149,7 +149,7 @@
 			var sum counts
 			kills := 0
 			for seed := range max(*crashSeeds, minKillSeeds) {
-				s, traffic := playKills(seed+1, test.every)
+				s, traffic := simulateKills(seed+1, test.every)
 				for _, made := range s.givenUp {
 					t.Logf("seed %d: %s is given up: %+v", seed+1, made.Task, made.Decision)
 				}
@@ -168,8 +168,8 @@
 // given up would decide.
 const minKillSeeds = 6
 
-// playKills lets traffic run for 10 s on a site whose workers are killed, and returns both when nearly all jobs have ended.
-func playKills(seed uint64, every time.Duration) (*site, *traffic) {
+// simulateKills lets traffic run for 10 s on a site whose workers are killed, and returns both when nearly all jobs have ended.
+func simulateKills(seed uint64, every time.Duration) (*site, *traffic) {
 	s := newSite(seed, 12, 48, 48)
 	s.killWorkers(every)
 	traffic := &traffic{site: s, load: 0.5}
@@ -181,14 +181,14 @@
 // killWorkers crashes each worker at random times.
 func (s *site) killWorkers(every time.Duration) {
 	for _, a := range s.agentsInOrder() {
-		s.killAgain(a.worker, every)
+		s.scheduleKill(a.worker, every)
 	}
 }
 
-// killAgain crashes a worker at random times.
-func (s *site) killAgain(w *fakeWorker, every time.Duration) {
+// scheduleKill crashes a worker at random times.
+func (s *site) scheduleKill(w *fakeWorker, every time.Duration) {
 	s.after(time.Duration(s.random.ExpFloat64()*float64(every)), func() {
 		w.crash()
-		s.killAgain(w, every)
+		s.scheduleKill(w, every)
 	})
 }
--- a/internal/overload/ejection_test.go
+++ b/internal/overload/ejection_test.go
@@ -32,29 +32,29 @@
 )
 
 const (
-	// failFrom and failTo are the time in which workers fail, within the burst of the tests and longer.
-	failFrom, failTo = 5 * time.Second, 8 * time.Second
-	// failureLength is for how long jobs come.
-	failureLength = 9 * time.Second
-	// failureAttempts is how many runs of a task may fail in the tests.
-	failureAttempts = 2
-	// failureEntries and failureAgents are the size of the site.
-	failureEntries, failureAgents = 8, 48
+	// faultFrom and faultTo are the time in which workers fail, within the burst of the tests and longer.
+	faultFrom, faultTo = 5 * time.Second, 8 * time.Second
+	// faultArrivalsEnd is for how long jobs come.
+	faultArrivalsEnd = 9 * time.Second
+	// faultAttempts is how many runs of a task may fail in the tests.
+	faultAttempts = 2
+	// faultEntries and faultAgents are the size of the site.
+	faultEntries, faultAgents = 8, 48
 )
 
 // longKindBurst is a burst with which all workers together are just busy.
 var longKindBurst = burst{kind: "confirmation", factor: 2.5, from: burstFrom, to: burstTo}
 
-// newFailingSite returns a site with the burst of a long kind during which a part of the workers has a fault.
-func newFailingSite(seed uint64, share float64, f fault) *scarcity {
-	s := newScarcity(seed, failureEntries, failureAgents, usualLoad, longKindBurst)
-	s.attempts = failureAttempts
-	s.setFault(share, f, failFrom, failTo)
+// newFaultySite returns a site with the burst of a long kind during which a part of the workers has a fault.
+func newFaultySite(seed uint64, share float64, f fault) *burstSite {
+	s := newBurstSite(seed, faultEntries, faultAgents, baseLoad, longKindBurst)
+	s.attempts = faultAttempts
+	s.setFault(share, f, faultFrom, faultTo)
 	return s
 }
 
 // setFault gives a part of the workers a fault for a time.
-func (s *scarcity) setFault(share float64, f fault, from, to time.Duration) {
+func (s *burstSite) setFault(share float64, f fault, from, to time.Duration) {
 	all := s.agentsInOrder()
 	for _, a := range all[:int(share*float64(len(all))+0.5)] {
 		s.after(from, func() { a.worker.setFault(f) })
@@ -79,16 +79,16 @@
 	return text
 }
 
-// playFailing plays a site with failing workers.
-func playFailing(seed uint64, share float64, f fault) outcome {
-	s := newFailingSite(seed, share, f)
-	s.play(failureLength)
+// simulateFaultyWorkers plays a site with failing workers.
+func simulateFaultyWorkers(seed uint64, share float64, f fault) outcome {
+	s := newFaultySite(seed, share, f)
+	s.simulate(faultArrivalsEnd)
 	o := outcome{served: make(map[string]float64), failedRuns: s.failedRuns}
 	for _, k := range append([]variedKind{{}}, variedKinds...) {
-		o.served[k.Name], _ = s.served(during(failFrom, failTo, k.Name, ""))
+		o.served[k.Name], _ = s.served(during(faultFrom, faultTo, k.Name, ""))
 	}
 	for _, j := range s.jobs {
-		if j.arrived < failFrom || j.arrived >= failTo {
+		if j.arrived < faultFrom || j.arrived >= faultTo {
 			continue
 		}
 		o.jobs++
@@ -117,18 +117,18 @@
 		{0.15, map[string]fault{"hang": hangs, "are slow": slows, "lose starts": resets}},
 		{0.5, map[string]fault{"fail at once": failsAtOnce}},
 	} {
-		without := sync.OnceValue(func() outcome { return playFailing(*ejectionSeed, group.share, drains) })
+		without := sync.OnceValue(func() outcome { return simulateFaultyWorkers(*ejectionSeed, group.share, drains) })
 		for name, f := range group.faults {
 			t.Run(fmt.Sprintf("%.2f of the workers %s", group.share, name), func(t *testing.T) {
 				t.Parallel()
-				checkFailing(t, group.share, playFailing(*ejectionSeed, group.share, f), without())
+				checkFaultOutcome(t, group.share, simulateFaultyWorkers(*ejectionSeed, group.share, f), without())
 			})
 		}
 	}
 }
 
-// checkFailing checks what became of the jobs beside failing workers, compared with the same jobs without these workers.
-func checkFailing(t *testing.T, share float64, failing, without outcome) {
+// checkFaultOutcome checks what became of the jobs beside failing workers, compared with the same jobs without these workers.
+func checkFaultOutcome(t *testing.T, share float64, failing, without outcome) {
 	const cost, kindCost, runsEach, mostEjected = 0.04, 0.08, 20, 0.3
 	t.Logf("%d jobs, %d failed, %d failed runs, served %s; without the workers %s", failing.jobs, failing.failed, failing.failedRuns, failing, without)
 	for kind, served := range failing.served {
@@ -143,7 +143,7 @@
 	mayFail := failing.jobs * 3 / 100
 	if share < mostEjected {
 		mayFail = failing.jobs / 100
-		if workers := share * failureAgents; float64(failing.failedRuns) > runsEach*workers {
+		if workers := share * faultAgents; float64(failing.failedRuns) > runsEach*workers {
 			t.Errorf("%d runs fail on %.0f workers, want %d for each at most", failing.failedRuns, workers, runsEach)
 		}
 	}
@@ -152,8 +152,8 @@
 	}
 }
 
-// ejected returns how many workers are ejected now.
-func (s *site) ejected() int {
+// ejectedWorkers returns how many workers are ejectedWorkers now.
+func (s *site) ejectedWorkers() int {
 	count := 0
 	for _, a := range s.agents {
 		if a.isEjected {
@@ -164,37 +164,37 @@
 }
 
 // failingKind is a kind of which a share of the runs fails on whatever worker, and the others take some times as long as before.
-type failingKind struct{ load, share, times float64 }
+type failingKind struct{ load, share, slowdown float64 }
 
 // kindOutcome is what happened on a site with a failing kind.
 type kindOutcome struct {
-	// most is how many workers were ejected at a time, after1s and after4s how many from one and from four seconds on.
-	most, after1s, after4s int
+	// maxEjected is how many workers were ejected at a time, maxAfter1s and maxAfter4s how many from one and from four seconds on.
+	maxEjected, maxAfter1s, maxAfter4s int
 	// served are the parts of the work that were on time, by kind, and that of all kinds under the empty name.
 	served map[string]float64
 }
 
-// play lets the reminders of a site be the failing kind from one moment on.
-func (f failingKind) play(withoutEjection bool) kindOutcome {
+// simulate lets the reminders of a site be the failing kind from one moment on.
+func (f failingKind) simulate(withoutEjection bool) kindOutcome {
 	option := func(s *site) { s.limits.NoEjection = s.limits.NoEjection || withoutEjection }
-	s := newScarcityWith(*ejectionSeed, failureEntries, failureAgents, f.load, option)
-	s.attempts = failureAttempts
-	s.after(failFrom, func() { s.failingKind, s.failingShare, s.failingTimes = "reminder", f.share, f.times })
+	s := newBurstSiteWith(*ejectionSeed, faultEntries, faultAgents, f.load, option)
+	s.attempts = faultAttempts
+	s.after(faultFrom, func() { s.failingKind, s.failingShare, s.failingSlowdown = "reminder", f.share, f.slowdown })
 	o := kindOutcome{served: make(map[string]float64)}
 	s.every(10*time.Millisecond, func() {
-		ejected, since := s.ejected(), s.now.Sub(s.began)-failFrom
-		o.most = max(o.most, ejected)
+		ejected, since := s.ejectedWorkers(), s.now.Sub(s.started)-faultFrom
+		o.maxEjected = max(o.maxEjected, ejected)
 		if since > time.Second {
-			o.after1s = max(o.after1s, ejected)
+			o.maxAfter1s = max(o.maxAfter1s, ejected)
 		}
 		if since > 4*time.Second {
-			o.after4s = max(o.after4s, ejected)
+			o.maxAfter4s = max(o.maxAfter4s, ejected)
 		}
 	})
 	// Probes need jobs: these come until well after the last check.
-	s.play(failTo + 2*time.Second)
+	s.simulate(faultTo + 2*time.Second)
 	for _, kind := range []string{"", "lookup", "reminder", "confirmation"} {
-		o.served[kind], _ = s.served(during(failFrom, failTo, kind, ""))
+		o.served[kind], _ = s.served(during(faultFrom, faultTo, kind, ""))
 	}
 	return o
 }
@@ -208,11 +208,11 @@
 	for _, share := range []float64{1, 0.3} {
 		t.Run(fmt.Sprintf("%.1f", share), func(t *testing.T) {
 			t.Parallel()
-			f := failingKind{load: usualLoad, share: share, times: 1}
-			got, want := f.play(false), f.play(true)
+			f := failingKind{load: baseLoad, share: share, slowdown: 1}
+			got, want := f.simulate(false), f.simulate(true)
 			t.Logf("%+v; without ejection %+v", got, want)
-			if got.most > failureAgents*3/10 || got.after1s > failureAgents/20 {
-				t.Errorf("%d of the workers were ejected at a time, and %d after the first second", got.most, got.after1s)
+			if got.maxEjected > faultAgents*3/10 || got.maxAfter1s > faultAgents/20 {
+				t.Errorf("%d of the workers were ejected at a time, and %d after the first second", got.maxEjected, got.maxAfter1s)
 			}
 			for kind, served := range got.served {
 				if least := want.served[kind] - 0.02; served < least {
@@ -231,11 +231,11 @@
 // lost.
 func TestAKindThatTakesLongerEjectsFew(t *testing.T) {
 	t.Parallel()
-	f := failingKind{load: usualLoad / 2, times: 4}
-	got, want := f.play(false), f.play(true)
+	f := failingKind{load: baseLoad / 2, slowdown: 4}
+	got, want := f.simulate(false), f.simulate(true)
 	t.Logf("%+v; without ejection %+v", got, want)
-	if got.most > failureAgents/3 || got.after4s > 0 {
-		t.Errorf("%d of the workers were ejected at a time, and %d after four seconds", got.most, got.after4s)
+	if got.maxEjected > faultAgents/3 || got.maxAfter4s > 0 {
+		t.Errorf("%d of the workers were ejected at a time, and %d after four seconds", got.maxEjected, got.maxAfter4s)
 	}
 	if served, least := got.served[""], want.served[""]-0.05; served < least {
 		t.Errorf("%.3f of the work is on time, want %.3f", served, least)
@@ -250,15 +250,15 @@
 	for _, c := range []struct {
 		name string
 		// disturb happens while the workers are probed for the last time.
-		disturb func(s *scarcity, faulty []*agent)
+		disturb func(s *burstSite, faulty []*agent)
 	}{
-		{"nothing else", func(*scarcity, []*agent) {}},
-		{"sessions end while a probe is out", func(s *scarcity, faulty []*agent) {
+		{"nothing else", func(*burstSite, []*agent) {}},
+		{"sessions end while a probe is out", func(s *burstSite, faulty []*agent) {
 			for _, a := range faulty {
 				for id, e := range a.entries {
 					if e.isOpen(a.id, id) && s.random.IntN(2) == 0 {
 						a.handle(runner.SessionClosed{Session: id})
-						e.lose(a, id)
+						e.reopenSession(a, id)
 					}
 				}
 			}
@@ -266,20 +266,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			const share, again = 0.05, 500 * time.Millisecond
-			s := newScarcity(*ejectionSeed, failureEntries, failureAgents, usualLoad)
-			s.attempts = failureAttempts
+			const share, relapse = 0.05, 500 * time.Millisecond
+			s := newBurstSite(*ejectionSeed, faultEntries, faultAgents, baseLoad)
+			s.attempts = faultAttempts
 			faulty := s.agentsInOrder()[:3]
 			s.setFault(share, failsAll, 3*time.Second, 5*time.Second)
-			s.setFault(share, failsAll, 5*time.Second+again, 6*time.Second)
+			s.setFault(share, failsAll, 5*time.Second+relapse, 6*time.Second)
 			s.after(6*time.Second+100*time.Millisecond, func() { c.disturb(s, faulty) })
 			var last time.Duration
 			s.every(time.Millisecond, func() {
-				if s.ejected() > 0 {
-					last = s.now.Sub(s.began)
+				if s.ejectedWorkers() > 0 {
+					last = s.now.Sub(s.started)
 				}
 			})
-			s.play(8 * time.Second)
+			s.simulate(8 * time.Second)
 			if took := last - 6*time.Second; took > time.Second || took < 0 {
 				t.Errorf("the last worker was back in service %s after it was well, want a second at most", took)
 			}
@@ -293,8 +293,8 @@
 // Grounds for its figure: three failed jobs eject a worker, and some more run beside them.
 func TestARestartedAgentEjectsItsWorkerAgain(t *testing.T) {
 	t.Parallel()
-	s := newScarcity(*ejectionSeed, failureEntries, failureAgents, usualLoad)
-	s.attempts = failureAttempts
+	s := newBurstSite(*ejectionSeed, faultEntries, faultAgents, baseLoad)
+	s.attempts = faultAttempts
 	faulty := s.agentsInOrder()[0]
 	faulty.worker.fault = failsAll
 	var before int
@@ -304,7 +304,7 @@
 	})
 	isEjected := false
 	s.after(4500*time.Millisecond, func() { isEjected = faulty.isEjected })
-	s.play(5 * time.Second)
+	s.simulate(5 * time.Second)
 	if !isEjected {
 		t.Error("the worker is not ejected after the restart of its agent")
 	}
@@ -321,20 +321,20 @@
 func TestFlappingWorkersGetFewTasks(t *testing.T) {
 	t.Parallel()
 	const downTime, upTime, flapping = 700 * time.Millisecond, 300 * time.Millisecond, 4
-	s := newScarcity(*ejectionSeed, failureEntries, failureAgents, usualLoad, longKindBurst)
+	s := newBurstSite(*ejectionSeed, faultEntries, faultAgents, baseLoad, longKindBurst)
 	s.restartAfter = downTime
 	lost, crashes := 0, 0
 	for _, a := range s.agentsInOrder()[:flapping] {
-		for at := failFrom; at < failTo; at += downTime + upTime {
+		for at := faultFrom; at < faultTo; at += downTime + upTime {
 			s.after(at, func() {
-				if s.now.Sub(s.began) > failFrom+2*(downTime+upTime)-time.Millisecond {
+				if s.now.Sub(s.started) > faultFrom+2*(downTime+upTime)-time.Millisecond {
 					lost, crashes = lost+len(a.worker.running), crashes+1
 				}
 				a.worker.crash()
 			})
 		}
 	}
-	s.play(failTo)
+	s.simulate(faultTo)
 	if mean := float64(lost) / float64(crashes); mean > 4 {
 		t.Errorf("%.1f runs are lost with each crash from the third on, want 4 at most", mean)
 	}
@@ -350,10 +350,10 @@
 	const wellAgain, from, to = 3300 * time.Millisecond, 3500 * time.Millisecond, 5500 * time.Millisecond
 	play := func(withoutEjection bool) (served float64, jobs int) {
 		option := func(s *site) { s.limits.NoEjection = s.limits.NoEjection || withoutEjection }
-		s := newScarcityWith(*ejectionSeed, entries, agents, usualLoad, option)
+		s := newBurstSiteWith(*ejectionSeed, entries, agents, baseLoad, option)
 		s.attempts = 1
 		s.setFault(1, failsAll, 3*time.Second, wellAgain)
-		s.play(to)
+		s.simulate(to)
 		return s.served(during(from, to, "", ""))
 	}
 	got, jobs := play(false)
--- a/internal/overload/fault_test.go
+++ b/internal/overload/fault_test.go
@@ -38,11 +38,11 @@
 	factor float64
 }
 
-// hangTime is how long a run takes that hangs: longer than any test.
-const hangTime = time.Hour
+// hungRunTime is how long a run takes that hangs: longer than any test.
+const hungRunTime = time.Hour
 
-// failTime is how long a run takes at least that fails.
-const failTime = time.Millisecond
+// minFailTime is how long a run takes at least that fails.
+const minFailTime = time.Millisecond
 
 // apply returns how long a run takes and how it ends, or that its start is lost.
 func (f fault) apply(random *rand.Rand, length time.Duration) (took time.Duration, ending worker.Ending, isLost bool) {
@@ -51,9 +51,9 @@
 	}
 	switch f.kind {
 	case faultFails:
-		return max(time.Duration(f.after*float64(length)), failTime), worker.EndingFailed, false
+		return max(time.Duration(f.after*float64(length)), minFailTime), worker.EndingFailed, false
 	case faultHangs:
-		return hangTime, worker.EndingDone, false
+		return hungRunTime, worker.EndingDone, false
 	case faultSlows:
 		return time.Duration(f.factor * float64(length)), worker.EndingDone, false
 	default:
@@ -64,7 +64,7 @@
 // setFault gives the worker a fault, or takes it away.
 func (w *fakeWorker) setFault(f fault) {
 	if isDraining := f.kind == faultDrains; isDraining != (w.fault.kind == faultDrains) {
-		w.beat(isDraining)
+		w.sendHeartbeat(isDraining)
 	}
 	w.fault = f
 }
--- a/internal/overload/handover_test.go
+++ b/internal/overload/handover_test.go
@@ -20,7 +20,7 @@
 	end := func(result dispatch.HandOverResult) {
 		e.handle(dispatch.HandOverEnded{Job: job.ID, Number: number, Result: result})
 	}
-	other := e.chooseOther()
+	other := e.chooseTarget()
 	if other == nil {
 		s.after(0, func() { end(dispatch.HandOverNotSent{Reason: "no other entry takes jobs"}) })
 		return
@@ -44,21 +44,21 @@
 	})
 }
 
-// chooseOther returns the entry to which the next job is handed over, or nil if there is none.
-func (e *entry) chooseOther() *entry {
+// chooseTarget returns the entry to which the next job is handed over, or nil if there is none.
+func (e *entry) chooseTarget() *entry {
 	s := e.site
-	if !slices.ContainsFunc(s.entries, e.mayGetJobs) {
+	if !slices.ContainsFunc(s.entries, e.mayHandOverTo) {
 		return nil
 	}
 	for {
-		if other := s.entries[s.random.IntN(len(s.entries))]; e.mayGetJobs(other) {
+		if other := s.entries[s.random.IntN(len(s.entries))]; e.mayHandOverTo(other) {
 			return other
 		}
 	}
 }
 
-// mayGetJobs reports whether an entry may get jobs of this one.
-func (e *entry) mayGetJobs(other *entry) bool {
+// mayHandOverTo reports whether an entry may get jobs of this one.
+func (e *entry) mayHandOverTo(other *entry) bool {
 	refused, hasRefused := e.refusedBy[other]
 	return other != e && (!hasRefused || e.site.now.Sub(refused) >= refusalBackoff)
 }
@@ -99,18 +99,18 @@
 	}
 }
 
-// playSmallEntries lets two entries, which have links of 3 Mbit/s and no third one beside them, get some jobs a second each for five seconds. It
+// simulateSmallEntries lets two entries, which have links of 3 Mbit/s and no third one beside them, get some jobs a second each for five seconds. It
 // returns how many are on time a second. The workers have room.
-func playSmallEntries(seed uint64, jobsPerSecond float64, options ...func(*site)) float64 {
-	const most = 5 * time.Second
+func simulateSmallEntries(seed uint64, jobsPerSecond float64, options ...func(*site)) float64 {
+	const length = 5 * time.Second
 	s := newSite(seed, 2, 48, 48, options...)
-	crowd := &traffic{site: s, ends: s.now.Add(most)}
+	jobs := &traffic{site: s, until: s.now.Add(length)}
 	for _, e := range s.entries {
 		e.in.bytesPerSecond, e.out.bytesPerSecond = 375_000, 375_000
-		crowd.arrive(e, jobsPerSecond)
+		jobs.scheduleArrivals(e, jobsPerSecond)
 	}
-	s.run(most)
-	return float64(crowd.onTime) / most.Seconds()
+	s.run(length)
+	return float64(jobs.onTime) / length.Seconds()
 }
 
 // checkSmallEntries fails unless two entries that get some jobs a second each serve nine tenths of what they serve without hand-overs.
@@ -119,8 +119,8 @@
 	const seeds = 3
 	var with, without float64
 	for seed := range uint64(seeds) {
-		with += playSmallEntries(seed, jobsPerSecond, withHandOver) / seeds
-		without += playSmallEntries(seed, jobsPerSecond) / seeds
+		with += simulateSmallEntries(seed, jobsPerSecond, withHandOver) / seeds
+		without += simulateSmallEntries(seed, jobsPerSecond) / seeds
 	}
 	t.Logf("%.0f jobs a second at each: %.1f on time, %.1f without hand-overs", jobsPerSecond, with, without)
 	if with < 0.9*without {
--- a/internal/overload/learned_test.go
+++ b/internal/overload/learned_test.go
@@ -13,8 +13,8 @@
 // exchangeInterval is the time between two exchanges of an entry with another one, a little more than timing.ExchangeInterval.
 const exchangeInterval = 500 * time.Millisecond
 
-// shareLearned lets all entries exchange what they learn of kinds.
-func (s *site) shareLearned() {
+// exchangeLearnedRecords lets all entries exchange what they learn of kinds.
+func (s *site) exchangeLearnedRecords() {
 	for _, e := range s.entries {
 		s.every(exchangeInterval, e.exchangeLearned)
 	}
@@ -39,20 +39,20 @@
 func TestEntriesThatSeeFewJobsLearnFromEachOther(t *testing.T) {
 	t.Parallel()
 	const length, seeds = 4 * time.Second, 8
-	play := func(prepare func(*scarcity)) float64 {
+	play := func(prepare func(*burstSite)) float64 {
 		sum := 0.0
 		for seed := range uint64(seeds) {
-			s := newScarcity(seed+1, 50, 18, 0.9)
-			s.guessBias = 0.25
+			s := newBurstSite(seed+1, 50, 18, 0.9)
+			s.estimateBias = 0.25
 			prepare(s)
-			s.play(length)
+			s.simulate(length)
 			share, _ := s.served(during(length/2, length, "", ""))
 			sum += share
 		}
 		return sum / seeds
 	}
-	alone := play(func(*scarcity) {})
-	together := play(func(s *scarcity) { s.shareLearned() })
+	alone := play(func(*burstSite) {})
+	together := play(func(s *burstSite) { s.exchangeLearnedRecords() })
 	t.Logf("%.3f of the work is on time with what others have learned, %.3f without", together, alone)
 	if gained, lost := together-alone, 1-alone; gained < lost/5 {
 		t.Errorf("%.3f of the work is on time with what others have learned, %.3f without", together, alone)
@@ -62,9 +62,9 @@
 // TestAnEntryThatStartsKnowsTheKindsWithinASecond plays an entry that starts on a site in use.
 func TestAnEntryThatStartsKnowsTheKindsWithinASecond(t *testing.T) {
 	t.Parallel()
-	s := newScarcity(1, 6, 24, 0.6)
-	s.shareLearned()
-	s.play(4 * time.Second)
+	s := newBurstSite(1, 6, 24, 0.6)
+	s.exchangeLearnedRecords()
+	s.simulate(4 * time.Second)
 	started := s.addEntry(len(s.entries))
 	s.every(exchangeInterval, started.exchangeLearned)
 	s.run(time.Second)
--- a/internal/overload/link_test.go
+++ b/internal/overload/link_test.go
@@ -29,50 +29,50 @@
 // carry delivers a message behind all that were sent before it.
 func (l *link) carry(s *site, size int, deliver func()) {
 	if l.bytesPerSecond > 0 {
-		l.freeAt = later(l.freeAt, s.now).Add(time.Duration(float64(size) / l.bytesPerSecond * float64(time.Second)))
+		l.freeAt = latest(l.freeAt, s.now).Add(time.Duration(float64(size) / l.bytesPerSecond * float64(time.Second)))
 		s.after(l.freeAt.Sub(s.now)+sessionDelay+l.delay, deliver)
 		return
 	}
 	s.after(sessionDelay+l.delay, deliver)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// smallEntry is the result of a run with one entry whose link is small.
-type smallEntry struct {
+// smallLinkResult is the result of a run with one entry whose link is small.
+type smallLinkResult struct {
 	// goodput is how many of its jobs were on time a second, while the most came. recovered is the part of the jobs that came two seconds after
 	// that or later which was on time.
-	goodput   float64
-	recovered float64
+	goodput        float64
+	recoveredShare float64
 }
 
-// playSmallEntry lets one of eight entries, which has a link of 3 Mbit/s, get some jobs a second for five seconds, and few after that. The
+// simulateSmallEntry lets one of eight entries, which has a link of 3 Mbit/s, get some jobs a second for five seconds, and few after that. The
 // others have room, and so have the workers.
-func playSmallEntry(seed uint64, jobsPerSecond float64, options ...func(*site)) smallEntry {
-	const few, most, pause, rest = 15, 5 * time.Second, 2 * time.Second, 5 * time.Second
+func simulateSmallEntry(seed uint64, jobsPerSecond float64, options ...func(*site)) smallLinkResult {
+	const baseRate, peakLength, pause, recoveryLength = 15, 5 * time.Second, 2 * time.Second, 5 * time.Second
 	s := newSite(seed, 8, 48, 48, options...)
 	small := s.entries[0]
 	small.in.bytesPerSecond, small.out.bytesPerSecond = 375_000, 375_000
 	for _, e := range s.entries[1:] {
-		other := &traffic{site: s, ends: s.now.Add(most + pause + rest)}
-		other.arrive(e, 20)
+		other := &traffic{site: s, until: s.now.Add(peakLength + pause + recoveryLength)}
+		other.scheduleArrivals(e, 20)
 	}
-	crowd := &traffic{site: s, ends: s.now.Add(most)}
-	crowd.arrive(small, jobsPerSecond)
-	s.run(most)
-	goodput := float64(crowd.onTime) / most.Seconds()
-	between := &traffic{site: s, ends: s.now.Add(pause)}
-	between.arrive(small, few)
+	peak := &traffic{site: s, until: s.now.Add(peakLength)}
+	peak.scheduleArrivals(small, jobsPerSecond)
+	s.run(peakLength)
+	goodput := float64(peak.onTime) / peakLength.Seconds()
+	between := &traffic{site: s, until: s.now.Add(pause)}
+	between.scheduleArrivals(small, baseRate)
 	s.run(pause)
-	after := &traffic{site: s, ends: s.now.Add(rest)}
-	after.arrive(small, few)
-	s.run(rest + pause)
-	return smallEntry{goodput: goodput, recovered: after.onTimeShare()}
+	after := &traffic{site: s, until: s.now.Add(recoveryLength)}
+	after.scheduleArrivals(small, baseRate)
+	s.run(recoveryLength + pause)
+	return smallLinkResult{goodput: goodput, recoveredShare: after.onTimeShare()}
 }
 
 // TestAnEntryWithASmallLinkServesWhatItCanCarry plays the pattern of a zone whose only entry is small and gets the most callers: two and five
@@ -100,9 +100,9 @@
 func meanOfSeeds(jobsPerSecond float64, options ...func(*site)) (goodput, recovered float64) {
 	const seeds = 3
 	for seed := range seeds {
-		one := playSmallEntry(uint64(seed), jobsPerSecond, options...)
+		one := simulateSmallEntry(uint64(seed), jobsPerSecond, options...)
 		goodput += one.goodput / seeds
-		recovered += one.recovered / seeds
+		recovered += one.recoveredShare / seeds
 	}
 	return goodput, recovered
 }
--- a/internal/overload/rack_test.go
+++ b/internal/overload/rack_test.go
@@ -16,9 +16,9 @@
 	for _, test := range []struct{ share, least float64 }{{0.3, 0.97}, {0.9, 0.8}} {
 		t.Run(fmt.Sprintf("share %.1f", test.share), func(t *testing.T) {
 			t.Parallel()
-			s := newScarcityWith(1, 8, 48, 0.6, func(s *site) { s.limits.CrossRackFactor, s.farTimes = 3, 3 })
+			s := newBurstSiteWith(1, 8, 48, 0.6, func(s *site) { s.limits.CrossRackFactor, s.crossRackFactor = 3, 3 })
 			s.hotRack, s.hotShare = "rack-0", test.share
-			s.play(6 * time.Second)
+			s.simulate(6 * time.Second)
 			for _, k := range variedKinds {
 				least := 0.98
 				if k.Name == "lookup" {
--- a/internal/overload/return_test.go
+++ b/internal/overload/return_test.go
@@ -19,10 +19,10 @@
 // 0.957 of those who come after the burst are served on time, in place of 1.02 times and all.
 func TestCallersThatReturnAreServed(t *testing.T) {
 	t.Parallel()
-	const patience = 15 * time.Second
+	const maxRetryTime = 15 * time.Second
 	s := newSite(1, 12, 48, 48)
 	burst := &traffic{site: s, load: 1.5}
-	gaveUp, refusals := 0, 0
+	abandoned, refusals := 0, 0
 	returning := make(map[time.Time]bool)
 	burst.refused = func(k kind, first time.Time, answer dispatch.NotRun) {
 		refusals++
@@ -31,8 +31,8 @@
 		if rest := wait % time.Second; rest > 0 {
 			wait += time.Second - rest
 		}
-		if s.now.Add(wait).Sub(first) > patience {
-			gaveUp++
+		if s.now.Add(wait).Sub(first) > maxRetryTime {
+			abandoned++
 			return
 		}
 		s.after(wait, func() { burst.submit(s.entries[s.random.IntN(len(s.entries))], k, first) })
@@ -44,12 +44,12 @@
 	s.run(20 * time.Second)
 
 	callers := len(returning)
-	t.Logf("%d callers, %d of them refused %d times, %d gave up; after the burst %d of %d on time", burst.submitted, callers, refusals, gaveUp, after.onTime, after.submitted)
+	t.Logf("%d callers, %d of them refused %d times, %d gave up; after the burst %d of %d on time", burst.submitted, callers, refusals, abandoned, after.onTime, after.submitted)
 	if callers == 0 {
 		t.Fatal("nobody was refused")
 	}
-	if gaveUp > callers/50 {
-		t.Errorf("%d of %d refused callers gave up", gaveUp, callers)
+	if abandoned > callers/50 {
+		t.Errorf("%d of %d refused callers gave up", abandoned, callers)
 	}
 	if mean := float64(refusals) / float64(callers); mean > 1.3 {
 		t.Errorf("refused callers were refused %.2f times on average", mean)
--- a/internal/overload/scarcity_test.go
+++ b/internal/overload/scarcity_test.go
@@ -33,13 +33,13 @@
 const (
 	// sizeSpread is the standard deviation of the logarithm of widths and times, needSpread that of needs, unevenness that of the times of the
 	// tasks of one job, and guessSpread that of the callers' guesses.
-	sizeSpread  = 0.4
-	needSpread  = 0.2
-	unevenness  = 0.15
-	guessSpread = 0.4
-	// largestSize is by how many times a width or a time exceeds the mean at most, largestNeed a need.
-	largestSize = 4
-	largestNeed = 1.5
+	sizeSpread     = 0.4
+	demandSpread   = 0.2
+	taskTimeSpread = 0.15
+	estimateSpread = 0.4
+	// maxSizeFactor is by how many times a width or a time exceeds the mean at most, largestNeed a need.
+	maxSizeFactor   = 4
+	maxDemandFactor = 1.5
 )
 
 // burst is a time in which more jobs come than usual.
@@ -52,8 +52,8 @@
 	from, to   time.Duration
 }
 
-// scarcity is a site on which more work comes at times than fits.
-type scarcity struct {
+// burstSite is a site on which more work comes at times than fits.
+type burstSite struct {
 	*site
 	// load is the work that usually comes, as a part of what all workers do.
 	load   float64
@@ -61,17 +61,17 @@
 	// hotRack is the rack of the data of some lookups, and hotShare the part of them, 0 to 1.
 	hotRack  string
 	hotShare float64
-	// guessBias is by how many times callers' guesses are too long.
-	guessBias float64
+	// estimateBias is by how many times callers' guesses are too long.
+	estimateBias float64
 	// failingKind is a kind of which a share of the runs, 0 to 1, fails on any worker for a time; empty for none.
 	failingKind  string
 	failingShare float64
-	// failingTimes is by how many times the tasks of failingKind take longer than their callers guess.
-	failingTimes float64
+	// failingSlowdown is by how many times the tasks of failingKind take longer than their callers guess.
+	failingSlowdown float64
 	// attempts is how many runs of a task may fail, zero for as many as the kind says.
 	attempts int
-	began    time.Time
-	next     int
+	started  time.Time
+	lastJob  int
 	// jobs are all that came, in the order of their arrival.
 	jobs []*variedJob
 	// sharedWith are the entries that get half of the jobs of others.
@@ -99,15 +99,15 @@
 	return isDone && j.took <= j.objective
 }
 
-// newScarcity returns a site of three availability zones. Every third worker has half as many cores again as the others.
-func newScarcity(seed uint64, entries, agents int, load float64, bursts ...burst) *scarcity {
-	return newScarcityWith(seed, entries, agents, load, func(*site) {}, bursts...)
+// newBurstSite returns a site of three availability zones. Every third worker has half as many cores again as the others.
+func newBurstSite(seed uint64, entries, agents int, load float64, bursts ...burst) *burstSite {
+	return newBurstSiteWith(seed, entries, agents, load, func(*site) {}, bursts...)
 }
 
-// newScarcityWith returns such a site that an option has changed before its entries and agents are added.
-func newScarcityWith(seed uint64, entries, agents int, load float64, option func(*site), bursts ...burst) *scarcity {
+// newBurstSiteWith returns such a site that an option has changed before its entries and agents are added.
+func newBurstSiteWith(seed uint64, entries, agents int, load float64, option func(*site), bursts ...burst) *burstSite {
 	const cpu, subsetSize, rackSize = 32000, 48, 8
-	s := &scarcity{site: newSite(seed, 0, 0, 0, option), load: load, bursts: bursts, guessBias: 1, failingTimes: 1, sharedWith: make(map[*entry]*entry)}
+	s := &burstSite{site: newSite(seed, 0, 0, 0, option), load: load, bursts: bursts, estimateBias: 1, failingSlowdown: 1, sharedWith: make(map[*entry]*entry)}
 	s.build(entries, agents, subsetSize, func(number int, a *agent) {
 		a.cpu, a.rack = cpu, fmt.Sprintf("rack-%d", number/rackSize)
 		if number%3 == 2 {
@@ -117,20 +117,20 @@
 	return s
 }
 
-// play lets jobs come for some time, and the site run until all are answered.
-func (s *scarcity) play(length time.Duration) {
-	s.began = s.now
-	rate := s.load * s.cores() / meanVariedWork()
+// simulate lets jobs come for some time, and the site run until all are answered.
+func (s *burstSite) simulate(length time.Duration) {
+	s.started = s.now
+	rate := s.load * s.cores() / meanVariedJobWork()
 	for number, e := range s.entries {
 		for _, k := range variedKinds {
-			s.arriveVaried(number, e, k, rate*k.share/float64(len(s.entries)), length)
+			s.scheduleVariedArrivals(number, e, k, rate*k.share/float64(len(s.entries)), length)
 		}
 	}
 	s.run(length + 5*time.Second)
 }
 
 // cores returns the cores of all workers.
-func (s *scarcity) cores() float64 {
+func (s *burstSite) cores() float64 {
 	sum := 0
 	for _, a := range s.agents {
 		sum += a.cpu
@@ -138,8 +138,8 @@
 	return float64(sum) / 1000
 }
 
-// meanVariedWork is the mean work of a job, in core-seconds.
-func meanVariedWork() float64 {
+// meanVariedJobWork is the mean work of a job, in core-seconds.
+func meanVariedJobWork() float64 {
 	sum := 0.0
 	for _, k := range variedKinds {
 		sum += k.share * float64(k.width*k.cpu) / 1000 * k.each.Seconds()
@@ -147,27 +147,27 @@
 	return sum
 }
 
-// arriveVaried submits jobs of a kind to an entry, perSecond of them on average while there is no burst.
-func (s *scarcity) arriveVaried(number int, e *entry, k variedKind, perSecond float64, length time.Duration) {
+// scheduleVariedArrivals submits jobs of a kind to an entry, perSecond of them on average while there is no burst.
+func (s *burstSite) scheduleVariedArrivals(number int, e *entry, k variedKind, perSecond float64, length time.Duration) {
 	most := 1.0
 	for _, b := range s.bursts {
 		most = math.Max(most, b.factor)
 	}
 	gap := time.Duration(s.random.ExpFloat64() / (perSecond * most) * float64(time.Second))
 	s.after(gap, func() {
-		age := s.now.Sub(s.began)
+		age := s.now.Sub(s.started)
 		if age > length {
 			return
 		}
 		if s.random.Float64() < s.factorAt(age, number, e, k)/most {
 			s.submitVaried(e, k)
 		}
-		s.arriveVaried(number, e, k, perSecond, length)
+		s.scheduleVariedArrivals(number, e, k, perSecond, length)
 	})
 }
 
 // factorAt returns by how many times more jobs of a kind come to an entry than usual.
-func (s *scarcity) factorAt(age time.Duration, number int, e *entry, k variedKind) float64 {
+func (s *burstSite) factorAt(age time.Duration, number int, e *entry, k variedKind) float64 {
 	factor := 1.0
 	for _, b := range s.bursts {
 		if age >= b.from && age < b.to && (b.kind == "" || b.kind == k.Name) && (b.zone == "" || b.zone == e.zone) && (b.entry == 0 || b.entry == number+1) {
@@ -178,16 +178,16 @@
 }
 
 // submitVaried hands a job of random sizes to an entry.
-func (s *scarcity) submitVaried(e *entry, k variedKind) {
-	s.next++
-	id := fmt.Sprintf("%016x", s.next)
-	width := max(1, int(math.Round(float64(k.width)*s.varied(sizeSpread, largestSize))))
-	cpu := int(float64(k.cpu) * s.varied(needSpread, largestNeed))
-	each := time.Duration(float64(k.each) * s.varied(sizeSpread, largestSize))
+func (s *burstSite) submitVaried(e *entry, k variedKind) {
+	s.lastJob++
+	id := fmt.Sprintf("%016x", s.lastJob)
+	width := max(1, int(math.Round(float64(k.width)*s.logNormalFactor(sizeSpread, maxSizeFactor))))
+	cpu := int(float64(k.cpu) * s.logNormalFactor(demandSpread, maxDemandFactor))
+	each := time.Duration(float64(k.each) * s.logNormalFactor(sizeSpread, maxSizeFactor))
 	if other := s.sharedWith[e]; other != nil && s.random.IntN(2) == 0 {
 		e = other
 	}
-	j := &variedJob{kind: k, zone: e.zone, arrived: s.now.Sub(s.began)}
+	j := &variedJob{kind: k, zone: e.zone, arrived: s.now.Sub(s.started)}
 	var longest time.Duration
 	rack := ""
 	if k.Name == "lookup" && s.random.Float64() < s.hotShare {
@@ -197,11 +197,11 @@
 		if rack != "" {
 			s.racks[dispatch.TaskName(id, 0, i)] = rack
 		}
-		runTime := time.Duration(float64(each) * s.varied(unevenness, largestSize))
+		runTime := time.Duration(float64(each) * s.logNormalFactor(taskTimeSpread, maxSizeFactor))
 		s.runTimes[dispatch.TaskName(id, 0, i)] = runTime
 		if k.Name == s.failingKind {
 			s.failing[dispatch.TaskName(id, 0, i)] = s.failingShare
-			runTime = time.Duration(s.failingTimes * float64(runTime))
+			runTime = time.Duration(s.failingSlowdown * float64(runTime))
 			s.runTimes[dispatch.TaskName(id, 0, i)] = runTime
 		}
 		longest = max(longest, runTime)
@@ -210,8 +210,8 @@
 	j.longest = longest
 	j.objective = time.Duration(k.Stretch*float64(longest)) + k.Target
 	s.jobs = append(s.jobs, j)
-	guess := time.Duration(s.guessBias * float64(each) * s.varied(guessSpread, largestSize))
-	step := dispatch.Step{Count: width, Needs: worker.Resources{CPU: cpu, Memory: 64}, Expected: guess, Rack: rack}
+	estimate := time.Duration(s.estimateBias * float64(each) * s.logNormalFactor(estimateSpread, maxSizeFactor))
+	step := dispatch.Step{Count: width, Needs: worker.Resources{CPU: cpu, Memory: 64}, Expected: estimate, Rack: rack}
 	if s.attempts > 0 {
 		k.Attempts = s.attempts
 	}
@@ -220,13 +220,13 @@
 	e.submit(submitted, func(answer dispatch.Answer) { j.answer, j.took = answer, s.now.Sub(began) })
 }
 
-// varied returns a random factor with a mean of about 1, whose logarithm has a standard deviation.
-func (s *scarcity) varied(deviation, largest float64) float64 {
+// logNormalFactor returns a random factor with a mean of about 1, whose logarithm has a standard deviation.
+func (s *burstSite) logNormalFactor(deviation, largest float64) float64 {
 	return math.Min(math.Exp(s.random.NormFloat64()*deviation-deviation*deviation/2), largest)
 }
 
 // served returns the part of the jobs on time, by their work, among those for which matches returns true, and their number.
-func (s *scarcity) served(matches func(*variedJob) bool) (share float64, jobs int) {
+func (s *burstSite) served(matches func(*variedJob) bool) (share float64, jobs int) {
 	var all, onTime float64
 	for _, j := range s.jobs {
 		if !matches(j) {
--- a/internal/overload/seed_test.go
+++ b/internal/overload/seed_test.go
@@ -15,16 +15,16 @@
 	worker, task string
 }
 
-// playTroubles lets jobs that crash workers run beside others on a site whose workers are also killed and whose entries exchange crashes, and
+// simulateCrashesAndKills lets jobs that crash workers run beside others on a site whose workers are also killed and whose entries exchange crashes, and
 // returns all starts in their order.
-func playTroubles(seed uint64) []acceptedStart {
+func simulateCrashesAndKills(seed uint64) []acceptedStart {
 	var starts []acceptedStart
 	s := newSite(seed, 12, 48, 32)
 	s.onStart = func(w *fakeWorker, task string) {
 		starts = append(starts, acceptedStart{at: s.now, worker: w.id, task: task})
 	}
 	for _, e := range s.entries {
-		s.every(450*time.Millisecond, e.exchange)
+		s.every(450*time.Millisecond, e.exchangeCrashes)
 	}
 	s.killWorkers(4 * time.Second)
 	traffic := &traffic{site: s, load: 0.9, crashing: 0.1, crashingKind: "lookup"}
@@ -36,7 +36,7 @@
 // TestASeedRepeatsItself plays one seed twice and compares all starts: a failure of a seed must show again.
 func TestASeedRepeatsItself(t *testing.T) {
 	t.Parallel()
-	first, again := playTroubles(1), playTroubles(1)
+	first, again := simulateCrashesAndKills(1), simulateCrashesAndKills(1)
 	if len(first) == 0 {
 		t.Fatal("nothing was started")
 	}
--- a/internal/overload/shares_test.go
+++ b/internal/overload/shares_test.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// keptShare is the part of its work that a kind or an availability zone keeps on time while another one bursts, 0 to 1.
-	keptShare = 0.95
-	// goodputLoss is how much less work may be done on time than by urgency alone, as a part of what came.
-	goodputLoss = 0.02
+	// minUnaffectedShare is the part of its work that a kind or an availability zone keeps on time while another one bursts, 0 to 1.
+	minUnaffectedShare = 0.95
+	// maxGoodputLoss is how much less work may be done on time than by urgency alone, as a part of what came.
+	maxGoodputLoss = 0.02
 	// sharesFrom and sharesTo are the time of the bursts.
 	sharesFrom, sharesTo = 3 * time.Second, 6 * time.Second
 )
@@ -34,11 +34,11 @@
 
 var smallSite, largeSite = sharesSite{entries: 6, agents: 36}, sharesSite{entries: 12, agents: 69}
 
-// protected are jobs that go on as usual during a burst: of a kind and a zone, or of all but one zone, empty for all.
-type protected struct{ kind, zone, except string }
+// unaffected are jobs that go on as usual during a burst: of a kind and a zone, or of all but one zone, empty for all.
+type unaffected struct{ kind, zone, except string }
 
 // matches returns whether a job that came from a time on until the end of the burst is protected.
-func (p protected) matches(from time.Duration) func(*variedJob) bool {
+func (p unaffected) matches(from time.Duration) func(*variedJob) bool {
 	comes := during(from, sharesTo, p.kind, p.zone)
 	return func(j *variedJob) bool { return comes(j) && (p.except == "" || j.zone != p.except) }
 }
@@ -48,26 +48,26 @@
 	name      string
 	site      sharesSite
 	bursts    []burst
-	protected []protected
+	protected []unaffected
 }{
-	{"a long kind over short ones", largeSite, []burst{{kind: "confirmation", factor: 6}}, []protected{{kind: "lookup"}, {kind: "reminder"}}},
-	{"a short kind over long ones", smallSite, []burst{{kind: "lookup", factor: 5}}, []protected{{kind: "reminder"}, {kind: "confirmation"}}},
-	{"one zone", smallSite, []burst{{zone: "zone-a", factor: 3.5}}, []protected{{zone: "zone-b"}, {zone: "zone-c"}}},
-	{"one entry", smallSite, []burst{{entry: 1, factor: 9}}, []protected{{except: "zone-a"}}},
-	{"a kind and a zone", smallSite, []burst{{kind: "confirmation", factor: 3}, {zone: "zone-a", factor: 3}}, []protected{
+	{"a long kind over short ones", largeSite, []burst{{kind: "confirmation", factor: 6}}, []unaffected{{kind: "lookup"}, {kind: "reminder"}}},
+	{"a short kind over long ones", smallSite, []burst{{kind: "lookup", factor: 5}}, []unaffected{{kind: "reminder"}, {kind: "confirmation"}}},
+	{"one zone", smallSite, []burst{{zone: "zone-a", factor: 3.5}}, []unaffected{{zone: "zone-b"}, {zone: "zone-c"}}},
+	{"one entry", smallSite, []burst{{entry: 1, factor: 9}}, []unaffected{{except: "zone-a"}}},
+	{"a kind and a zone", smallSite, []burst{{kind: "confirmation", factor: 3}, {zone: "zone-a", factor: 3}}, []unaffected{
 		{kind: "lookup", except: "zone-a"}, {kind: "reminder", except: "zone-a"},
 	}},
 }
 
-// TestABurstIsPaidForByWhoBursts plays more work than fits, of a kind, an availability zone or an entry. All others keep theirs on time.
-func TestABurstIsPaidForByWhoBursts(t *testing.T) {
+// TestABurstDoesNotDelayOthers plays more work than fits, of a kind, an availability zone or an entry. All others keep theirs on time.
+func TestABurstDoesNotDelayOthers(t *testing.T) {
 	for _, pattern := range sharesPatterns {
 		t.Run(pattern.name, func(t *testing.T) {
 			t.Parallel()
-			s := newBurst(pattern.site, pattern.bursts...)
-			s.play(sharesTo)
+			s := newSharesBurst(pattern.site, pattern.bursts...)
+			s.simulate(sharesTo)
 			t.Log("served on time during the burst:\n" + s.table(sharesFrom, sharesTo))
-			s.checkServed(t, sharesFrom, keptShare, pattern.protected...)
+			s.checkServed(t, sharesFrom, minUnaffectedShare, pattern.protected...)
 		})
 	}
 }
@@ -76,32 +76,32 @@
 func TestSharesCostLittleGoodput(t *testing.T) {
 	t.Parallel()
 	longKind := burst{kind: "confirmation", factor: 6}
-	byUrgency := newBurstWith(largeSite, byUrgencyAlone, longKind)
-	byUrgency.play(sharesTo)
-	least, _ := byUrgency.served(protected{}.matches(sharesFrom))
-	s := newBurst(largeSite, longKind)
-	s.play(sharesTo)
-	s.checkServed(t, sharesFrom, least-goodputLoss, protected{})
+	byUrgency := newSharesBurstWith(largeSite, byUrgencyAlone, longKind)
+	byUrgency.simulate(sharesTo)
+	least, _ := byUrgency.served(unaffected{}.matches(sharesFrom))
+	s := newSharesBurst(largeSite, longKind)
+	s.simulate(sharesTo)
+	s.checkServed(t, sharesFrom, least-maxGoodputLoss, unaffected{})
 }
 
 // byUrgencyAlone is the option of sites without shares.
 func byUrgencyAlone(s *site) { s.limits.NoShares = true }
 
-// newBurst returns a site with bursts from sharesFrom to sharesTo.
-func newBurst(size sharesSite, bursts ...burst) *scarcity {
-	return newBurstWith(size, func(*site) {}, bursts...)
+// newSharesBurst returns a site with bursts from sharesFrom to sharesTo.
+func newSharesBurst(size sharesSite, bursts ...burst) *burstSite {
+	return newSharesBurstWith(size, func(*site) {}, bursts...)
 }
 
-// newBurstWith returns such a site that an option has changed.
-func newBurstWith(size sharesSite, option func(*site), bursts ...burst) *scarcity {
+// newSharesBurstWith returns such a site that an option has changed.
+func newSharesBurstWith(size sharesSite, option func(*site), bursts ...burst) *burstSite {
 	for i := range bursts {
 		bursts[i].from, bursts[i].to = sharesFrom, sharesTo
 	}
-	return newScarcityWith(*sharesSeed, size.entries, size.agents, usualLoad, option, bursts...)
+	return newBurstSiteWith(*sharesSeed, size.entries, size.agents, baseLoad, option, bursts...)
 }
 
 // checkServed fails if, of any of the protected jobs that came from a time on, less than a part of the work is on time.
-func (s *scarcity) checkServed(t *testing.T, from time.Duration, want float64, all ...protected) {
+func (s *burstSite) checkServed(t *testing.T, from time.Duration, want float64, all ...unaffected) {
 	t.Helper()
 	for _, p := range all {
 		share, jobs := s.served(p.matches(from))
@@ -111,24 +111,24 @@
 	}
 }
 
-// TestABurstOfAllIsPaidForByAll plays more work of all kinds in all zones than fits: 1.2, 2 and 5 times what the workers can do. Nobody is served
+// TestABurstOfEverythingIsServedFairly plays more work of all kinds in all zones than fits: 1.2, 2 and 5 times what the workers can do. Nobody is served
 // much worse than others.
-func TestABurstOfAllIsPaidForByAll(t *testing.T) {
+func TestABurstOfEverythingIsServedFairly(t *testing.T) {
 	t.Parallel()
 	for _, load := range []float64{1.2, 2, 5} {
-		s := newBurst(smallSite, burst{factor: load / usualLoad})
-		s.play(sharesTo)
-		all, _ := s.served(protected{}.matches(sharesFrom))
-		t.Logf("%.1f times the room: %.3f on time, Jain's index %.3f\n%s", load, all, s.jain(), s.table(sharesFrom, sharesTo))
-		if s.jain() < keptShare {
-			t.Errorf("%.1f times the room: Jain's index %.3f, want %.2f", load, s.jain(), keptShare)
+		s := newSharesBurst(smallSite, burst{factor: load / baseLoad})
+		s.simulate(sharesTo)
+		all, _ := s.served(unaffected{}.matches(sharesFrom))
+		t.Logf("%.1f times the room: %.3f on time, Jain's index %.3f\n%s", load, all, s.fairnessIndex(), s.table(sharesFrom, sharesTo))
+		if s.fairnessIndex() < minUnaffectedShare {
+			t.Errorf("%.1f times the room: Jain's index %.3f, want %.2f", load, s.fairnessIndex(), minUnaffectedShare)
 		}
 	}
 }
 
-// jain returns Jain's index of fairness over the parts of the work of each kind in each availability zone that are served on time during the
+// fairnessIndex returns Jain's index of fairness over the parts of the work of each kind in each availability zone that are served on time during the
 // burst: 1 if all are alike.
-func (s *scarcity) jain() float64 {
+func (s *burstSite) fairnessIndex() float64 {
 	var sum, squares, count float64
 	for _, zone := range zones {
 		for _, k := range variedKinds {
@@ -146,7 +146,7 @@
 func TestAgentsThatStartInABurstLearnShares(t *testing.T) {
 	t.Parallel()
 	const at = sharesFrom + time.Second/2
-	s := newBurst(largeSite, burst{zone: "zone-a", factor: 3.5})
+	s := newSharesBurst(largeSite, burst{zone: "zone-a", factor: 3.5})
 	s.after(at, func() {
 		for number, id := range slices.Sorted(maps.Keys(s.agents)) {
 			if number%12 == 0 {
@@ -154,9 +154,9 @@
 			}
 		}
 	})
-	s.play(sharesTo)
+	s.simulate(sharesTo)
 	t.Log("served on time:\n" + s.table(at+time.Second, sharesTo))
-	s.checkServed(t, at+time.Second, keptShare, protected{except: "zone-a"})
+	s.checkServed(t, at+time.Second, minUnaffectedShare, unaffected{except: "zone-a"})
 }
 
 // TestAnEntryThatJoinsInABurstTakesFromNobody lets an entry join while the long kind bursts. It takes over half of the callers of another one of
@@ -164,16 +164,16 @@
 func TestAnEntryThatJoinsInABurstTakesFromNobody(t *testing.T) {
 	t.Parallel()
 	const at = sharesFrom + time.Second/2
-	s := newBurst(largeSite, burst{kind: "confirmation", factor: 6})
+	s := newSharesBurst(largeSite, burst{kind: "confirmation", factor: 6})
 	joined := s.entries[1]
 	s.after(at, func() { s.join(joined) })
-	s.play(sharesTo)
+	s.simulate(sharesTo)
 	t.Log("served on time:\n" + s.table(sharesFrom, sharesTo))
-	s.checkServed(t, sharesFrom, keptShare, protected{kind: "lookup", except: joined.zone}, protected{kind: "reminder", except: joined.zone})
+	s.checkServed(t, sharesFrom, minUnaffectedShare, unaffected{kind: "lookup", except: joined.zone}, unaffected{kind: "reminder", except: joined.zone})
 }
 
 // join adds an entry to the zone of another one. The new one takes over half of the jobs of the other.
-func (s *scarcity) join(other *entry) {
+func (s *burstSite) join(other *entry) {
 	e := s.addEntry(len(s.entries))
 	e.zone = other.zone
 	ids := slices.Sorted(maps.Keys(s.agents))
@@ -184,32 +184,32 @@
 	s.sharedWith[other] = e
 }
 
-// TestEntriesOfAnEarlierVersionTakeFromNobody plays a burst of the long kind while the entries of one zone tell neither zone, kind nor estimate,
+// TestEntriesOfAnEarlierVersionDoNotReduceService plays a burst of the long kind while the entries of one zone tell neither zone, kind nor estimate,
 // and use offers by urgency alone. Neither they nor the others are served worse than if all did so.
-func TestEntriesOfAnEarlierVersionTakeFromNobody(t *testing.T) {
+func TestEntriesOfAnEarlierVersionDoNotReduceService(t *testing.T) {
 	t.Parallel()
-	const earlierZone = "zone-c"
+	const oldVersionZone = "zone-c"
 	longKind := burst{kind: "confirmation", factor: 6}
-	byUrgency := newBurstWith(largeSite, byUrgencyAlone, longKind)
-	byUrgency.play(sharesTo)
-	s := newBurst(largeSite, longKind)
+	byUrgency := newSharesBurstWith(largeSite, byUrgencyAlone, longKind)
+	byUrgency.simulate(sharesTo)
+	s := newSharesBurst(largeSite, longKind)
 	for _, e := range s.entries {
-		if e.zone == earlierZone {
+		if e.zone == oldVersionZone {
 			e.downgrade()
 		}
 	}
-	s.play(sharesTo)
+	s.simulate(sharesTo)
 	t.Log("served on time:\n" + s.table(sharesFrom, sharesTo))
-	for _, who := range []protected{{zone: earlierZone}, {kind: "lookup", except: earlierZone}, {kind: "reminder", except: earlierZone}} {
+	for _, who := range []unaffected{{zone: oldVersionZone}, {kind: "lookup", except: oldVersionZone}, {kind: "reminder", except: oldVersionZone}} {
 		least, _ := byUrgency.served(who.matches(sharesFrom))
-		s.checkServed(t, sharesFrom, least-goodputLoss, who)
+		s.checkServed(t, sharesFrom, least-maxGoodputLoss, who)
 	}
 }
 
 // downgrade replaces the entry by one of an earlier version, and opens its sessions again.
 func (e *entry) downgrade() {
 	e.dispatcher = dispatch.New(dispatch.Limits{Jobs: 2000, NoShares: true}, rand.New(rand.NewPCG(1, 1)))
-	e.rewrite = asEarlierVersion
+	e.rewriteEvent = toOldVersion
 	ids := slices.Sorted(maps.Keys(e.sessions))
 	e.handle(dispatch.AgentsRegistered{Agents: ids, Chosen: len(ids)})
 	for _, id := range ids {
@@ -218,8 +218,8 @@
 	e.site.run(time.Second)
 }
 
-// asEarlierVersion returns an event as an entry of an earlier version sends it.
-func asEarlierVersion(event runner.Event) runner.Event {
+// toOldVersion returns an event as an entry of an earlier version sends it.
+func toOldVersion(event runner.Event) runner.Event {
 	switch e := event.(type) {
 	case runner.SessionOpened:
 		e.Zone = ""
--- a/internal/overload/site_test.go
+++ b/internal/overload/site_test.go
@@ -67,9 +67,9 @@
 	agents  map[dispatch.AgentID]*agent
 	// starts counts the starts of each task, crashes how many workers have crashed under it, and startsAtThird its starts
 	// until the third crash.
-	starts        map[string]int
-	crashes       map[string]int
-	startsAtThird map[string]int
+	starts             map[string]int
+	crashes            map[string]int
+	startsAtThirdCrash map[string]int
 	// failedRuns counts the runs that failed.
 	failedRuns int
 	// failing are the shares of the runs, 0 to 1, of some tasks that fail on any worker.
@@ -82,45 +82,45 @@
 	// runTimes has the run times of some tasks, in place of that in their payload.
 	runTimes map[string]time.Duration
 	// racks has the rack of the data of some tasks. Elsewhere they take farTimes times as long.
-	racks    map[string]string
-	farTimes float64
+	racks           map[string]string
+	crossRackFactor float64
 	// onStart is called after each start that a worker has accepted, unless it is nil.
 	onStart func(w *fakeWorker, task string)
 	// limits are those of all entries.
 	limits dispatch.Limits
 	// givenUp are the decisions to give a job up, in their order.
 	givenUp []dispatch.DecisionMade
-	// decided is called with what the entries decide, unless it is nil.
-	decided func(dispatch.DecisionMade)
+	// onDecision is called with what the entries decide, unless it is nil.
+	onDecision func(dispatch.DecisionMade)
 	// lastSession is the ID of the session that was opened last.
 	lastSession runner.SessionID
 }
 
-// started counts a start of a task.
-func (s *site) started(w *fakeWorker, task string) {
+// recordStart counts a start of a task.
+func (s *site) recordStart(w *fakeWorker, task string) {
 	s.starts[task]++
 	if s.onStart != nil {
 		s.onStart(w, task)
 	}
 }
 
-// noteDecision keeps a decision to give a job up, and tells who wants to know.
-func (s *site) noteDecision(made dispatch.DecisionMade) {
-	if s.decided != nil {
-		s.decided(made)
+// recordDecision keeps a decision to give a job up, and tells who wants to know.
+func (s *site) recordDecision(made dispatch.DecisionMade) {
+	if s.onDecision != nil {
+		s.onDecision(made)
 	}
 	if _, isGivenUp := made.Decision.(dispatch.DecisionGivenUp); isGivenUp {
 		s.givenUp = append(s.givenUp, made)
 	}
 }
 
-// crashed counts the crash of a worker under its runs.
-func (s *site) crashed(running map[string]fakeRun) {
+// recordCrash counts the crash of a worker under its runs.
+func (s *site) recordCrash(running map[string]fakeRun) {
 	s.allCrashes++
 	for task := range running {
 		s.crashes[task]++
 		if s.crashes[task] == 3 {
-			s.startsAtThird[task] = s.starts[task]
+			s.startsAtThirdCrash[task] = s.starts[task]
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	s := &site{
 		now: origin, random: rand.New(rand.NewPCG(seed, 1)), faults: rand.New(rand.NewPCG(seed, 2)), agents: make(map[dispatch.AgentID]*agent),
 		restartAfter: restartAfter, crashAfter: crashAfter, runTimes: make(map[string]time.Duration), racks: make(map[string]string), failing: make(map[string]float64),
-		starts: make(map[string]int), crashes: make(map[string]int), startsAtThird: make(map[string]int),
+		starts: make(map[string]int), crashes: make(map[string]int), startsAtThirdCrash: make(map[string]int),
 		limits: dispatch.Limits{Jobs: 2000, NoContainment: *noContainment, NoEjection: *noEjection, NoShares: *noShares},
 	}
 	for _, option := range options {
@@ -145,13 +145,13 @@
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
 // build adds entries and agents, and lets the site run until all workers accept tasks. describe may change an agent before its worker begins.
-func (s *site) build(entries, agents, subsetSize int, describe func(number int, a *agent)) {
+func (s *site) build(entries, agents, subsetSize int, configure func(number int, a *agent)) {
 	var names []string
 	var registered []dispatch.AgentID
 	for i := range agents {
 		name := fmt.Sprintf("agent-%d", i)
 		names, registered = append(names, name), append(registered, dispatch.AgentID(name))
-		describe(i, s.addAgent(dispatch.AgentID(name)))
+		configure(i, s.addAgent(dispatch.AgentID(name)))
 	}
 	for i := range entries {
 		e := s.addEntry(i)
@@ -224,10 +224,10 @@
 	a.runner, a.isEjected = runner.New(a.site.agentLimits(), 2), false
 	for _, id := range slices.Sorted(maps.Keys(a.entries)) {
 		if e := a.entries[id]; e.isOpen(a.id, id) {
-			e.lose(a, id)
+			e.reopenSession(a, id)
 		}
 	}
-	a.worker.beat(false)
+	a.worker.sendHeartbeat(false)
 }
 
 func (a *agent) handle(event runner.Event) {
@@ -256,7 +256,7 @@
 	case runner.SendPing:
 		a.ping(e)
 	case runner.CloseSession:
-		a.entries[e.Session].lose(a, e.Session)
+		a.entries[e.Session].reopenSession(a, e.Session)
 	case runner.CallStart, runner.CallStop, runner.CallRenew:
 		a.call(effect)
 	}
@@ -289,25 +289,25 @@
 	lastWaiter dispatch.Waiter
 	// crashes are those that the entry spreads to others.
 	crashes []dispatch.WorkerCrashed
-	// answered is called with the answer to each request.
-	answered map[dispatch.Waiter]func(dispatch.Answer)
+	// onAnswer is called with the answer to each request.
+	onAnswer map[dispatch.Waiter]func(dispatch.Answer)
 	// sessions are the open sessions by agent; in and out are the two directions of the link.
 	sessions map[dispatch.AgentID]runner.SessionID
 	in, out  *link
-	// payloads are those of the latest starts.
-	payloads map[dispatch.AgentID]string
+	// lastPayloads are those of the latest starts.
+	lastPayloads map[dispatch.AgentID]string
 	// refusedBy has when other entries refused a job of this one last.
 	refusedBy map[*entry]time.Time
-	// rewrite changes each event before it is sent to an agent, unless it is nil.
-	rewrite func(runner.Event) runner.Event
+	// rewriteEvent changes each event before it is sent to an agent, unless it is nil.
+	rewriteEvent func(runner.Event) runner.Event
 }
 
 func (s *site) addEntry(number int) *entry {
 	e := &entry{
 		site: s, name: fmt.Sprintf("entry-%d", number), zone: zones[number%len(zones)],
 		dispatcher: dispatch.New(s.limits, rand.New(rand.NewPCG(s.random.Uint64(), 1))),
-		answered:   make(map[dispatch.Waiter]func(dispatch.Answer)),
-		sessions:   make(map[dispatch.AgentID]runner.SessionID), in: &link{}, out: &link{}, payloads: make(map[dispatch.AgentID]string),
+		onAnswer:   make(map[dispatch.Waiter]func(dispatch.Answer)),
+		sessions:   make(map[dispatch.AgentID]runner.SessionID), in: &link{}, out: &link{}, lastPayloads: make(map[dispatch.AgentID]string),
 		refusedBy: make(map[*entry]time.Time),
 	}
 	s.entries = append(s.entries, e)
@@ -315,8 +315,8 @@
 	return e
 }
 
-// exchange tells another entry, at random, of the crashes that this one knows, and learns of those that the other one knows.
-func (e *entry) exchange() {
+// exchangeCrashes tells another entry, at random, of the crashes that this one knows, and learns of those that the other one knows.
+func (e *entry) exchangeCrashes() {
 	other := e.site.entries[e.site.random.IntN(len(e.site.entries))]
 	own, others := e.crashes, other.crashes
 	for _, crash := range own {
@@ -345,8 +345,8 @@
 // redialDelay is the time after which an entry opens a lost session again.
 const redialDelay = 100 * time.Millisecond
 
-// lose ends a session that its agent has closed, and opens another one.
-func (e *entry) lose(a *agent, id runner.SessionID) {
+// reopenSession ends a session that its agent has closed, and opens another one.
+func (e *entry) reopenSession(a *agent, id runner.SessionID) {
 	a.site.after(0, func() { a.handle(runner.SessionClosed{Session: id}) })
 	e.in.carry(a.site, messageSize, func() {
 		if !e.isOpen(a.id, id) {
@@ -379,13 +379,13 @@
 		e.handOver(f.Job, f.Number)
 	case dispatch.WithdrawHandOver:
 	case dispatch.DecisionMade:
-		e.site.noteDecision(f)
+		e.site.recordDecision(f)
 	case dispatch.PropagateCrash:
 		e.crashes = append(e.crashes, dispatch.WorkerCrashed(f))
 	case dispatch.Reply:
 		for _, waiter := range f.Waiters {
-			e.answered[waiter](f.Answer)
-			delete(e.answered, waiter)
+			e.onAnswer[waiter](f.Answer)
+			delete(e.onAnswer, waiter)
 		}
 	}
 }
@@ -399,8 +399,8 @@
 }
 
 func (e *entry) sendTo(a *agent, size int, event runner.Event) {
-	if e.rewrite != nil {
-		event = e.rewrite(event)
+	if e.rewriteEvent != nil {
+		event = e.rewriteEvent(event)
 	}
 	e.out.carry(e.site, size, func() { a.handle(event) })
 }
@@ -408,16 +408,16 @@
 // sendStart sends a start, with its payload unless that of the start before was the same.
 func (e *entry) sendStart(f dispatch.StartTask) {
 	size := messageSize + startSize
-	if e.payloads[f.Agent] != f.Task.Payload {
+	if e.lastPayloads[f.Agent] != f.Task.Payload {
 		size += payloadSize
 	}
-	e.payloads[f.Agent] = f.Task.Payload
+	e.lastPayloads[f.Agent] = f.Task.Payload
 	e.sendBytes(f.Agent, size, runner.StartRequested{Session: e.sessions[f.Agent], Number: f.Number, Task: f.Task})
 }
 
 // submit hands a job to the entry. answered is called with its answer.
 func (e *entry) submit(job dispatch.Job, answered func(dispatch.Answer)) {
 	e.lastWaiter++
-	e.answered[e.lastWaiter] = answered
+	e.onAnswer[e.lastWaiter] = answered
 	e.handle(dispatch.Submitted{Job: job, Waiter: e.lastWaiter})
 }
--- a/internal/overload/speed_test.go
+++ b/internal/overload/speed_test.go
@@ -21,7 +21,7 @@
 	for _, test := range []struct{ load, least float64 }{{0.3, 0.98}, {0.6, 0.95}} {
 		t.Run(fmt.Sprintf("load %.1f", test.load), func(t *testing.T) {
 			t.Parallel()
-			for name, counts := range playSpeeds(test.load) {
+			for name, counts := range simulateSpeeds(test.load) {
 				t.Logf("%s: %d jobs, %d on time, %d late, %d not run", name, counts.submitted, counts.onTime, counts.late, counts.notRun)
 				if share := counts.onTimeShare(); share < test.least {
 					t.Errorf("%s: %.3f on time, want %.2f", name, share, test.least)
@@ -31,8 +31,8 @@
 	}
 }
 
-// playSpeeds returns the counts by kind of the jobs that come after the speeds were learned.
-func playSpeeds(load float64) map[string]*counts {
+// simulateSpeeds returns the counts by kind of the jobs that come after the speeds were learned.
+func simulateSpeeds(load float64) map[string]*counts {
 	const learning, length = 6 * time.Second, 10 * time.Second
 	s := newSite(1, 8, 48, 48)
 	for i, a := range s.agentsInOrder() {
--- a/internal/overload/subset_test.go
+++ b/internal/overload/subset_test.go
@@ -22,8 +22,8 @@
 	for _, test := range []struct{ load, mostLost float64 }{{0.95, 0.02}, {1.2, 0.05}} {
 		t.Run(fmt.Sprintf("load %.2f", test.load), func(t *testing.T) {
 			t.Parallel()
-			size := subset.Size(agents, entries)
-			lost := servedShare(t, test.load, agents) - servedShare(t, test.load, size)
+			size := subset.Size(subsetAgents, subsetEntries)
+			lost := servedShare(t, test.load, subsetAgents) - servedShare(t, test.load, size)
 			if lost > test.mostLost {
 				t.Errorf("a subset of %d agents serves %.3f less than all", size, lost)
 			}
@@ -32,11 +32,11 @@
 }
 
 // The size of the site.
-const entries, agents = 55, 240
+const subsetEntries, subsetAgents = 55, 240
 
 // servedShare returns the part of the jobs that are served on time if each entry has sessions with size agents.
 func servedShare(t *testing.T, load float64, size int) float64 {
-	s := newSite(1, entries, agents, size)
+	s := newSite(1, subsetEntries, subsetAgents, size)
 	traffic := &traffic{site: s, load: load}
 	traffic.start(2500 * time.Millisecond)
 	s.run(4 * time.Second)
--- a/internal/overload/traffic_test.go
+++ b/internal/overload/traffic_test.go
@@ -49,9 +49,9 @@
 type traffic struct {
 	site *site
 	// load is the work that comes, as a part of what all workers do.
-	load float64
-	ends time.Time
-	next int
+	load    float64
+	until   time.Time
+	lastJob int
 	// crashing is the part of the jobs of the kind crashingKind whose first task crashes its workers.
 	crashing     float64
 	crashingKind string
@@ -103,43 +103,43 @@
 	add(t.kinds[k.Name])
 }
 
-// callers are the numbers of callers of four entries in turn, as a balancer that hashes its callers leaves them.
-var callers = []int{0, 1, 1, 4}
+// callersPerEntry are the numbers of callersPerEntry of four entries in turn, as a balancer that hashes its callersPerEntry leaves them.
+var callersPerEntry = []int{0, 1, 1, 4}
 
 // start submits jobs at random times until the end of the traffic.
 func (t *traffic) start(length time.Duration) {
-	t.ends = t.site.now.Add(length)
+	t.until = t.site.now.Add(length)
 	all := 0
 	for i := range t.site.entries {
-		all += callers[i%len(callers)]
+		all += callersPerEntry[i%len(callersPerEntry)]
 	}
 	perCaller := t.load * float64(len(t.site.agents)*workerCPU) / meanWork() / float64(all)
 	for i, e := range t.site.entries {
-		for range callers[i%len(callers)] {
-			t.arrive(e, perCaller)
+		for range callersPerEntry[i%len(callersPerEntry)] {
+			t.scheduleArrivals(e, perCaller)
 		}
 	}
 }
 
-// arrive submits jobs to one entry, perSecond of them on average.
-func (t *traffic) arrive(e *entry, perSecond float64) {
+// scheduleArrivals submits jobs to one entry, perSecond of them on average.
+func (t *traffic) scheduleArrivals(e *entry, perSecond float64) {
 	gap := time.Duration(t.site.random.ExpFloat64() / perSecond * float64(time.Second))
 	t.site.after(gap, func() {
-		if t.site.now.After(t.ends) {
+		if t.site.now.After(t.until) {
 			return
 		}
-		if k := t.draw(); k.Name == t.crashingKind && t.site.random.Float64() < t.crashing {
+		if k := t.randomKind(); k.Name == t.crashingKind && t.site.random.Float64() < t.crashing {
 			t.submitCrashing(e, k)
 		} else {
 			t.count(k, func(c *counts) { c.submitted++ })
 			t.submit(e, k, t.site.now)
 		}
-		t.arrive(e, perSecond)
+		t.scheduleArrivals(e, perSecond)
 	})
 }
 
-// draw returns a random kind.
-func (t *traffic) draw() kind {
+// randomKind returns a random kind.
+func (t *traffic) randomKind() kind {
 	at := t.site.random.Float64()
 	for _, k := range kinds {
 		if at -= k.share; at < 0 {
@@ -151,7 +151,7 @@
 
 // submitCrashing hands a job to an entry whose first task crashes its workers.
 func (t *traffic) submitCrashing(e *entry, k kind) {
-	t.next++
+	t.lastJob++
 	t.crashed++
 	job := t.job(k)
 	job.Payload = crashPayload + job.Payload
@@ -161,12 +161,12 @@
 // job returns a new job of a kind.
 func (t *traffic) job(k kind) dispatch.Job {
 	step := dispatch.Step{Count: k.tasks, Needs: worker.Resources{CPU: taskCPU, Memory: 64}, Expected: k.each}
-	return dispatch.Job{ID: fmt.Sprintf("%016x", t.next), Payload: k.each.String(), Kind: k.Kind, Steps: []dispatch.Step{step}}
+	return dispatch.Job{ID: fmt.Sprintf("%016x", t.lastJob), Payload: k.each.String(), Kind: k.Kind, Steps: []dispatch.Step{step}}
 }
 
 // submit hands a job to an entry. first is when its caller tried first.
 func (t *traffic) submit(e *entry, k kind, first time.Time) {
-	t.next++
+	t.lastJob++
 	began := t.site.now
 	e.submit(t.job(k), func(answer dispatch.Answer) {
 		switch a := answer.(type) {
--- a/internal/overload/unheard_test.go
+++ b/internal/overload/unheard_test.go
@@ -13,8 +13,8 @@
 	"sailhead/internal/worker"
 )
 
-// allMoments plays every millisecond of both crashes.
-var allMoments = flag.Bool("unheard.all", false, "play two crashes of workers at every millisecond of both")
+// allCrashTimes plays every millisecond of both crashes.
+var allCrashTimes = flag.Bool("unheard.all", false, "play two crashes of workers at every millisecond of both")
 
 // twoCrashes is a job of two tasks, of which none crashes anything, and two workers that crash for causes of their own, one after the
 // other: the runs of the tasks may have ended before.
@@ -23,8 +23,8 @@
 	delay time.Duration
 	// hasUnrecordedEnds is set if an end at each worker is not recorded. Its agent then sends no long polls.
 	hasUnrecordedEnds bool
-	// reset is how long before each crash the link closes the long poll, zero for never.
-	reset time.Duration
+	// pollClosedBefore is how long before each crash the link closes the long poll, zero for never.
+	pollClosedBefore time.Duration
 	// first and second are how long after the first and the second start of firstTask the worker crashes on which it runs.
 	first, second time.Duration
 }
@@ -39,12 +39,12 @@
 	secondTask = twoTasksID + ".0.0.1"
 )
 
-// play returns the job's answer, and under how many crashes the runs of one of its tasks were on the workers, at most.
-func (c twoCrashes) play() (answer dispatch.Answer, crashes int) {
+// simulate returns the job's answer, and under how many crashes the runs of one of its tasks were on the workers, at most.
+func (c twoCrashes) simulate() (answer dispatch.Answer, crashes int) {
 	s := newSite(1, 1, 2, 2)
 	s.runTimes = map[string]time.Duration{secondTask: secondRunTime}
 	if c.hasUnrecordedEnds {
-		s.leaveEndsUnrecorded()
+		s.addUnrecordedEnds()
 	}
 	s.onStart = func(w *fakeWorker, task string) {
 		w.agent.delay = c.delay
@@ -66,14 +66,14 @@
 
 // crashAfter crashes a worker after a time.
 func (c twoCrashes) crashAfter(w *fakeWorker, span time.Duration) {
-	if c.reset > 0 {
-		w.site.after(max(span-c.reset, 0), w.closePoll)
+	if c.pollClosedBefore > 0 {
+		w.site.after(max(span-c.pollClosedBefore, 0), w.closeLongPoll)
 	}
 	w.site.after(span, w.crash)
 }
 
-// leaveEndsUnrecorded runs a task of a durable job on each worker, whose ends no owner records.
-func (s *site) leaveEndsUnrecorded() {
+// addUnrecordedEnds runs a task of a durable job on each worker, whose ends no owner records.
+func (s *site) addUnrecordedEnds() {
 	step := dispatch.Step{Count: len(s.agents), Needs: worker.Resources{CPU: taskCPU, Memory: 64}, Expected: 10 * time.Millisecond, PerWorker: 1}
 	job := dispatch.Job{ID: "00000000000000bb", Payload: "10ms", Kind: newKind("durable", 1), Steps: []dispatch.Step{step}}
 	s.entries[0].handle(dispatch.DurableAccepted{Job: job})
@@ -99,14 +99,14 @@
 		{delay: 11 * time.Millisecond},
 		{delay: 11 * time.Millisecond, hasUnrecordedEnds: true},
 		{delay: 20 * time.Millisecond},
-		{delay: workerDelay, reset: 2 * time.Millisecond},
-		{delay: 5 * time.Millisecond, reset: 20 * time.Millisecond},
+		{delay: workerDelay, pollClosedBefore: 2 * time.Millisecond},
+		{delay: 5 * time.Millisecond, pollClosedBefore: 20 * time.Millisecond},
 	} {
-		t.Run(fmt.Sprintf("delay=%s/unrecorded=%t/reset=%s", test.delay, test.hasUnrecordedEnds, test.reset), func(t *testing.T) {
+		t.Run(fmt.Sprintf("delay=%s/unrecorded=%t/reset=%s", test.delay, test.hasUnrecordedEnds, test.pollClosedBefore), func(t *testing.T) {
 			t.Parallel()
 			plays, givenUp, wrong := 0, 0, 0
-			for _, c := range test.moments() {
-				answer, crashes := c.play()
+			for _, c := range test.atAllTimes() {
+				answer, crashes := c.simulate()
 				plays++
 				if _, isFailed := answer.(dispatch.Failed); !isFailed {
 					continue
@@ -125,11 +125,11 @@
 	}
 }
 
-// moments returns the plays with both crashes at the moments of their lists.
-func (c twoCrashes) moments() []twoCrashes {
-	firsts, seconds := momentsUntil(140, 3), []int{5, 30, 60, 86, 98, 104, 110, 125}
-	if *allMoments {
-		firsts, seconds = momentsUntil(180, 1), momentsUntil(180, 1)
+// atAllTimes returns the plays with both crashes at the atAllTimes of their lists.
+func (c twoCrashes) atAllTimes() []twoCrashes {
+	firsts, seconds := timesUntil(140, 3), []int{5, 30, 60, 86, 98, 104, 110, 125}
+	if *allCrashTimes {
+		firsts, seconds = timesUntil(180, 1), timesUntil(180, 1)
 	}
 	var all []twoCrashes
 	for _, first := range firsts {
@@ -141,8 +141,8 @@
 	return all
 }
 
-// momentsUntil returns the milliseconds from 2 to a last one, step apart.
-func momentsUntil(last, step int) []int {
+// timesUntil returns the milliseconds from 2 to a last one, step apart.
+func timesUntil(last, step int) []int {
 	var moments []int
 	for at := 2; at <= last; at += step {
 		moments = append(moments, at)
--- a/internal/overload/worker_test.go
+++ b/internal/overload/worker_test.go
@@ -57,32 +57,32 @@
 	fault   fault
 	running map[string]fakeRun
 	ends    []worker.End
-	number  uint64
-	// beats counts the heartbeats.
-	beats uint64
-	// poll answers the long poll that waits for an end, nil if there is none.
-	poll func(worker.RenewResult)
+	lastEnd uint64
+	// heartbeats counts the heartbeats.
+	heartbeats uint64
+	// longPoll answers the long longPoll that waits for an end, nil if there is none.
+	longPoll func(worker.RenewResult)
 }
 
 func newFakeWorker(a *agent) *fakeWorker {
 	w := &fakeWorker{site: a.site, agent: a}
-	w.begin()
+	w.startIncarnation()
 	return w
 }
 
-// begin begins an incarnation, and lets it report to the agent.
-func (w *fakeWorker) begin() {
+// startIncarnation begins an incarnation, and lets it report to the agent.
+func (w *fakeWorker) startIncarnation() {
 	w.incarnations++
 	w.id = fmt.Sprintf("%s-%d", w.agent.id, w.incarnations)
-	w.running, w.ends, w.number, w.isDown = make(map[string]fakeRun), nil, 0, false
-	w.site.after(0, func() { w.beat(false) })
+	w.running, w.ends, w.lastEnd, w.isDown = make(map[string]fakeRun), nil, 0, false
+	w.site.after(0, func() { w.sendHeartbeat(false) })
 }
 
-// beat sends a heartbeat to the agent.
-func (w *fakeWorker) beat(isDraining bool) {
-	w.beats++
+// sendHeartbeat sends a heartbeat to the agent.
+func (w *fakeWorker) sendHeartbeat(isDraining bool) {
+	w.heartbeats++
 	capacity := worker.Resources{CPU: w.agent.cpu, Memory: 128 << 10}
-	record := worker.Record{ID: w.id, Service: service, Capacity: capacity, Labels: []string{w.agent.rack}, Draining: isDraining, Sequence: w.beats, Clock: w.reply().Clock}
+	record := worker.Record{ID: w.id, Service: service, Capacity: capacity, Labels: []string{w.agent.rack}, Draining: isDraining, Sequence: w.heartbeats, Clock: w.reply().Clock}
 	w.agent.handle(runner.HeartbeatReceived{Record: record})
 }
 
@@ -92,15 +92,15 @@
 		return
 	}
 	w.isDown = true
-	w.site.crashed(w.running)
-	w.closePoll()
-	w.site.after(w.site.restartAfter, w.begin)
+	w.site.recordCrash(w.running)
+	w.closeLongPoll()
+	w.site.after(w.site.restartAfter, w.startIncarnation)
 }
 
-// closePoll closes the connection of the long poll that waits.
-func (w *fakeWorker) closePoll() {
-	if w.poll != nil {
-		w.poll(worker.Unanswered{Reason: "the connection was closed", IsClosed: true})
+// closeLongPoll closes the connection of the long poll that waits.
+func (w *fakeWorker) closeLongPoll() {
+	if w.longPoll != nil {
+		w.longPoll(worker.Unanswered{Reason: "the connection was closed", IsClosed: true})
 	}
 }
 
@@ -133,29 +133,29 @@
 		length = own
 	}
 	if rack, ok := w.site.racks[request.Name]; ok && rack != w.agent.rack {
-		length = time.Duration(w.site.farTimes * float64(length))
+		length = time.Duration(w.site.crossRackFactor * float64(length))
 	}
 	if w.timeFactor > 0 {
 		length = time.Duration(w.timeFactor * float64(length))
 	}
 	length, ending, isLost := w.fault.apply(w.site.faults, length)
 	if w.site.faults.Float64() < w.site.failing[request.Name] {
-		length, ending = failTime, worker.EndingFailed
+		length, ending = minFailTime, worker.EndingFailed
 	}
 	if isLost {
 		return worker.Unanswered{Reason: "the connection was closed", IsClosed: true}
 	}
 	if crashes && strings.HasSuffix(request.Name, ".0.0.0") {
-		w.site.after(w.site.crashAfter, func() { w.crashUnder(incarnation, request.Name, request.Run) })
+		w.site.after(w.site.crashAfter, func() { w.crashIfRunning(incarnation, request.Name, request.Run) })
 	}
 	w.running[request.Name] = fakeRun{run: request.Run, began: w.site.now, length: length}
 	w.site.after(length, func() { w.end(incarnation, request.Name, request.Run, ending) })
-	w.site.started(w, request.Name)
+	w.site.recordStart(w, request.Name)
 	return worker.Accepted{Reply: w.reply()}
 }
 
-// crashUnder crashes the worker if the run of a task has not ended.
-func (w *fakeWorker) crashUnder(incarnation, name string, run uint32) {
+// crashIfRunning crashes the worker if the run of a task has not ended.
+func (w *fakeWorker) crashIfRunning(incarnation, name string, run uint32) {
 	if w.id == incarnation && w.running[name].run == run {
 		w.crash()
 	}
@@ -175,13 +175,13 @@
 		return
 	}
 	delete(w.running, name)
-	w.number++
+	w.lastEnd++
 	if ending == worker.EndingFailed {
 		w.site.failedRuns++
 	}
-	w.ends = append(w.ends, worker.End{Number: w.number, Name: name, Run: run, Ending: ending})
-	if w.poll != nil {
-		w.poll(w.list())
+	w.ends = append(w.ends, worker.End{Number: w.lastEnd, Name: name, Run: run, Ending: ending})
+	if w.longPoll != nil {
+		w.longPoll(w.list())
 	}
 }
 
@@ -199,14 +199,14 @@
 		return
 	}
 	isAnswered := false
-	w.poll = func(result worker.RenewResult) {
+	w.longPoll = func(result worker.RenewResult) {
 		if !isAnswered {
 			isAnswered = true
-			w.poll = nil
+			w.longPoll = nil
 			answer(result)
 		}
 	}
-	poll := w.poll
+	poll := w.longPoll
 	w.site.after(request.Wait, func() { poll(w.list()) })
 }
 
@@ -227,12 +227,12 @@
 		answer := func(result worker.StartResult) runner.Event {
 			return runner.StartAnswered{Incarnation: e.Incarnation, Name: e.Start.Name, Run: e.Start.Run, Sent: sent, Ended: a.site.now, Result: result}
 		}
-		exchange(a, callTimeout, answer, func(back func(worker.StartResult)) { back(a.worker.start(e.Incarnation.ID, e.Start)) })
+		roundTrip(a, callTimeout, answer, func(back func(worker.StartResult)) { back(a.worker.start(e.Incarnation.ID, e.Start)) })
 	case runner.CallStop:
 		answer := func(result worker.StopResult) runner.Event {
 			return runner.StopAnswered{Incarnation: e.Incarnation, Name: e.Stop.Name, Run: e.Stop.Run, Result: result}
 		}
-		exchange(a, callTimeout, answer, func(back func(worker.StopResult)) { back(a.worker.stop(e.Incarnation.ID, e.Stop)) })
+		roundTrip(a, callTimeout, answer, func(back func(worker.StopResult)) { back(a.worker.stop(e.Incarnation.ID, e.Stop)) })
 	case runner.CallRenew:
 		sent := a.site.now
 		answer := func(result worker.RenewResult) runner.Event {
@@ -240,12 +240,12 @@
 				Incarnation: e.Incarnation, Sent: sent, Took: a.site.now.Sub(sent), Ended: a.site.now, Fence: e.Renew.Fence, LongPoll: e.Renew.Wait > 0, Result: result,
 			}
 		}
-		exchange(a, e.Renew.Wait+renewTimeout, answer, func(back func(worker.RenewResult)) { a.worker.renew(e.Incarnation.ID, e.Renew, back) })
+		roundTrip(a, e.Renew.Wait+renewTimeout, answer, func(back func(worker.RenewResult)) { a.worker.renew(e.Incarnation.ID, e.Renew, back) })
 	}
 }
 
-// exchange carries a call to the worker and the event made of its result back. The result is Unanswered after the timeout.
-func exchange[Result any](a *agent, timeout time.Duration, event func(Result) runner.Event, call func(back func(Result))) {
+// roundTrip carries a call to the worker and the event made of its result back. The result is Unanswered after the timeout.
+func roundTrip[Result any](a *agent, timeout time.Duration, event func(Result) runner.Event, call func(back func(Result))) {
 	isOver := false
 	end := func(result Result) {
 		if !isOver {
