--- a/internal/overload/fault_test.go
+++ b/internal/overload/fault_test.go
@@ -10,41 +10,41 @@
 	"sailhead/internal/worker"
 )
 
-// faultKind is what happens to the runs that a fault concerns.
+// faultKind is the effect of a fault on the runs concerned.
 type faultKind int
 
 const (
 	faultNone faultKind = iota
-	// faultFails fails them after the part fault.after of their time.
+	// faultFails makes the run fail after the fraction fault.after of its run time.
 	faultFails
-	// faultHangs lets them run until they are stopped.
+	// faultHangs makes the run continue until it is stopped.
 	faultHangs
-	// faultResets closes the connection of the start, which begins no run.
+	// faultResets closes the connection of the start request; no run is started.
 	faultResets
-	// faultSlows makes them take fault.factor times as long.
+	// faultSlows makes the run take fault.factor times as long.
 	faultSlows
-	// faultDrains takes the worker out of service: it says that it drains.
+	// faultDrains takes the worker out of service: it reports that it is draining.
 	faultDrains
 )
 
-// fault is what is wrong with a worker.
+// fault is a fault injected into a worker.
 type fault struct {
 	kind faultKind
-	// share is the part of the runs, 0 to 1, that go wrong.
+	// share is the share of the runs, 0 to 1, that are affected.
 	share float64
-	// after is the part of its time, 0 to 1, after which a run fails.
+	// after is the fraction of the run time, 0 to 1, after which a run fails.
 	after float64
-	// factor is by how many times a slow run takes longer.
+	// factor is the slowdown of a slow run.
 	factor float64
 }
 
-// hungRunTime is how long a run takes that hangs: longer than any test.
+// hungRunTime is the run time of a hung run: longer than any test.
 const hungRunTime = time.Hour
 
-// minFailTime is how long a run takes at least that fails.
+// minFailTime is the minimum run time of a run that fails.
 const minFailTime = time.Millisecond
 
-// apply returns how long a run takes and how it ends, or that its start is lost.
+// apply returns the run time and the ending of a run, or isLost if its start request is lost.
 func (f fault) apply(random *rand.Rand, length time.Duration) (took time.Duration, ending worker.Ending, isLost bool) {
 	if f.kind == faultNone || f.kind == faultDrains || random.Float64() >= f.share {
 		return length, worker.EndingDone, false
@@ -61,7 +61,7 @@
 	}
 }
 
-// setFault gives the worker a fault, or takes it away.
+// setFault replaces the fault of the worker; the zero value removes it.
 func (w *fakeWorker) setFault(f fault) {
 	if isDraining := f.kind == faultDrains; isDraining != (w.fault.kind == faultDrains) {
 		w.sendHeartbeat(isDraining)
--- a/internal/overload/link_test.go
+++ b/internal/overload/link_test.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// messageSize is the size of a message on the link, in bytes: most have some 30, and the network adds its headers.
+	// messageSize is the size of a message on the link, in bytes: most have about 30, plus the headers of the
+	// network.
 	messageSize = 100
-	// startSize is what a start has beside that, without its payload; payloadSize is the size of each payload.
+	// startSize is the additional size of a start without its payload; payloadSize is the size of each payload.
 	startSize   = 60
 	payloadSize = 1200
 )
 
-// link is one direction of an entry's link. The zero value carries everything at once.
+// link is one direction of an entry's network link. The zero value has unlimited bandwidth.
 type link struct {
-	// bytesPerSecond is its rate, zero for no bound.
+	// bytesPerSecond is the bandwidth, zero for unlimited.
 	bytesPerSecond float64
-	// delay is how much longer than sessionDelay a message takes.
+	// delay is added to sessionDelay for each message.
 	delay time.Duration
-	// freeAt is when all that was sent so far is through.
+	// freeAt is when all messages so far will have been transmitted.
 	freeAt time.Time
 }
 
-// carry delivers a message behind all that were sent before it.
+// carry delivers a message after those that were sent before it.
 func (l *link) carry(s *site, size int, deliver func()) {
 	if l.bytesPerSecond > 0 {
 		l.freeAt = latest(l.freeAt, s.now).Add(time.Duration(float64(size) / l.bytesPerSecond * float64(time.Second)))
@@ -43,16 +44,16 @@
 	return b
 }
 
-// smallLinkResult is the result of a run with one entry whose link is small.
+// smallLinkResult is the result of a simulation of one entry with a link of low bandwidth.
 type smallLinkResult struct {
-	// goodput is how many of its jobs were on time a second, while the most came. recovered is the part of the jobs that came two seconds after
-	// that or later which was on time.
+	// goodput is how many jobs of the entry a second were on time during the peak. recoveredShare is the share on
+	// time of the jobs that arrived two seconds after the peak or later.
 	goodput        float64
 	recoveredShare float64
 }
 
-// simulateSmallEntry lets one of eight entries, which has a link of 3 Mbit/s, get some jobs a second for five seconds, and few after that. The
-// others have room, and so have the workers.
+// simulateSmallEntry submits jobs for five seconds to one of eight entries, which has a link of 3 Mbit/s, and few
+// jobs after that. The other entries and the workers have free capacity.
 func simulateSmallEntry(seed uint64, jobsPerSecond float64, options ...func(*site)) smallLinkResult {
 	const baseRate, peakLength, pause, recoveryLength = 15, 5 * time.Second, 2 * time.Second, 5 * time.Second
 	s := newSite(seed, 8, 48, 48, options...)
@@ -75,24 +76,26 @@
 	return smallLinkResult{goodput: goodput, recoveredShare: after.onTimeShare()}
 }
 
-// TestAnEntryWithASmallLinkServesWhatItCanCarry plays the pattern of a zone whose only entry is small and gets the most callers: two and five
-// times the jobs that its link carries. It serves about as many as it does when just as many come as it carries, and all of them soon after.
+// TestAnEntryWithASmallLinkServesWhatItCanCarry covers an availability zone whose only entry is small and gets most
+// of the callers: two and five times the jobs that its link can carry. It must serve about as many as when just as
+// many arrive as the link can carry, and all jobs soon after the peak.
 //
-// What it does without a limit of its own: pings, offers and loads wait behind starts and reservations in the link, so that sessions end and
-// starts go to workers that are full, which costs further messages. The link stays full long after the crowd has gone.
+// Without a limit of the entry's own, pings, offers and loads queue behind starts and reservations in the link.
+// Sessions then time out and starts go to workers that are full, which costs further messages, and the link stays
+// saturated long after the peak.
 func TestAnEntryWithASmallLinkServesWhatItCanCarry(t *testing.T) {
 	t.Parallel()
 	const carried = 80
 	best, _ := meanOfSeeds(carried)
-	t.Logf("%d jobs a second: %.1f on time", carried, best)
+	t.Logf("%d jobs a second: %.1f a second on time", carried, best)
 	for _, factor := range []float64{2, 5} {
 		goodput, recovered := meanOfSeeds(factor * carried)
-		t.Logf("%.0f times as many: %.1f on time, %.3f of those after the crowd", factor, goodput, recovered)
+		t.Logf("%.0f times as many: %.1f a second on time, %.3f of the jobs after the peak", factor, goodput, recovered)
 		if goodput < 0.9*best {
-			t.Errorf("%.0f times as many: %.1f jobs a second are on time, want nine tenths of %.1f", factor, goodput, best)
+			t.Errorf("%.0f times as many: %.1f a second on time, want at least 0.9 of %.1f", factor, goodput, best)
 		}
 		if recovered < 0.95 {
-			t.Errorf("%.0f times as many: %.3f of the jobs are on time two seconds after the crowd, want 0.95", factor, recovered)
+			t.Errorf("%.0f times as many: %.3f on time from two seconds after the peak on, want at least 0.95", factor, recovered)
 		}
 	}
 }
--- a/internal/overload/scarcity_test.go
+++ b/internal/overload/scarcity_test.go
@@ -12,18 +12,19 @@
 	"sailhead/internal/worker"
 )
 
-// variedKind is a kind of job of which each job has sizes of its own.
+// variedKind is a kind whose jobs differ in size.
 type variedKind struct {
 	dispatch.Kind
-	// width is the mean number of tasks, each their mean time, cpu their mean need in thousandths of a core.
+	// width is the mean number of tasks, each their mean run time and cpu their mean CPU demand in thousandths of a
+	// core.
 	width int
 	each  time.Duration
 	cpu   int
-	// share is the part of all jobs that are of the kind.
+	// share is the share of the kind among all jobs.
 	share float64
 }
 
-// variedKinds are the three kinds of package overload with sizes that vary.
+// variedKinds are the kinds of traffic_test.go with varying sizes.
 var variedKinds = []variedKind{
 	{Kind: newKind("lookup", 0), width: 8, each: 60 * time.Millisecond, cpu: 3300, share: 0.244},
 	{Kind: newKind("reminder", 1), width: 2, each: 200 * time.Millisecond, cpu: 3300, share: 0.711},
@@ -31,80 +32,81 @@
 }
 
 const (
-	// sizeSpread is the standard deviation of the logarithm of widths and times, needSpread that of needs, unevenness that of the times of the
-	// tasks of one job, and guessSpread that of the callers' guesses.
+	// The standard deviations of logarithms: sizeSpread of widths and run times, demandSpread of CPU demands,
+	// taskTimeSpread of the run times of the tasks of one job, estimateSpread of the callers' estimates.
 	sizeSpread     = 0.4
 	demandSpread   = 0.2
 	taskTimeSpread = 0.15
 	estimateSpread = 0.4
-	// maxSizeFactor is by how many times a width or a time exceeds the mean at most, largestNeed a need.
+	// maxSizeFactor limits widths and run times, and maxDemandFactor limits CPU demands, as multiples of the mean.
 	maxSizeFactor   = 4
 	maxDemandFactor = 1.5
 )
 
-// burst is a time in which more jobs come than usual.
+// burst is a time in which more jobs than usual arrive.
 type burst struct {
-	// kind and zone are those whose jobs come more often, empty for all; entry is the number of the only entry that gets more, counted from 1, zero
-	// for all.
+	// kind and zone restrict the burst to their jobs, empty for all; entry restricts it to one entry, counted from 1,
+	// zero for all.
 	kind, zone string
 	entry      int
 	factor     float64
 	from, to   time.Duration
 }
 
-// burstSite is a site on which more work comes at times than fits.
+// burstSite is a site on which the load exceeds the capacity at times.
 type burstSite struct {
 	*site
-	// load is the work that usually comes, as a part of what all workers do.
+	// load is the load outside bursts, as a fraction of the capacity of all workers.
 	load   float64
 	bursts []burst
-	// hotRack is the rack of the data of some lookups, and hotShare the part of them, 0 to 1.
+	// hotRack is the rack that holds the data of some lookups, and hotShare the share of these lookups, 0 to 1.
 	hotRack  string
 	hotShare float64
-	// estimateBias is by how many times callers' guesses are too long.
+	// estimateBias is the factor by which callers' estimates are too long.
 	estimateBias float64
-	// failingKind is a kind of which a share of the runs, 0 to 1, fails on any worker for a time; empty for none.
+	// failingKind is a kind of which the share failingShare of the runs, 0 to 1, fails on any worker; empty for none.
 	failingKind  string
 	failingShare float64
-	// failingSlowdown is by how many times the tasks of failingKind take longer than their callers guess.
+	// failingSlowdown is the factor by which tasks of failingKind take longer than their callers estimate.
 	failingSlowdown float64
-	// attempts is how many runs of a task may fail, zero for as many as the kind says.
+	// attempts is the number of runs of a task that may fail, zero for that of the kind.
 	attempts int
 	started  time.Time
 	lastJob  int
-	// jobs are all that came, in the order of their arrival.
+	// jobs are all submitted jobs, in the order of their arrival.
 	jobs []*variedJob
-	// sharedWith are the entries that get half of the jobs of others.
+	// sharedWith maps an entry to another one that gets half of its jobs.
 	sharedWith map[*entry]*entry
 }
 
-// variedJob is a job and what became of it.
+// variedJob is a job and its result.
 type variedJob struct {
 	kind    variedKind
 	zone    string
 	arrived time.Duration
-	// work is that of all its tasks, in core-seconds, and objective the time within which it should be answered.
+	// work is the work of all tasks in core-seconds, and objective the time within which the job should be answered.
 	work      float64
 	objective time.Duration
-	// longest is the time of its longest task.
+	// longest is the run time of the longest task.
 	longest time.Duration
 	// took is the time until the answer, which is nil if there was none.
 	took   time.Duration
 	answer dispatch.Answer
 }
 
-// isOnTime reports whether the job was done within its objective.
+// isOnTime reports whether the job was completed within its objective.
 func (j *variedJob) isOnTime() bool {
 	_, isDone := j.answer.(dispatch.Completed)
 	return isDone && j.took <= j.objective
 }
 
-// newBurstSite returns a site of three availability zones. Every third worker has half as many cores again as the others.
+// newBurstSite returns a site with three availability zones. Every third worker has 1.5 times the cores of the
+// others.
 func newBurstSite(seed uint64, entries, agents int, load float64, bursts ...burst) *burstSite {
 	return newBurstSiteWith(seed, entries, agents, load, func(*site) {}, bursts...)
 }
 
-// newBurstSiteWith returns such a site that an option has changed before its entries and agents are added.
+// newBurstSiteWith is newBurstSite with an option that is applied before entries and agents are added.
 func newBurstSiteWith(seed uint64, entries, agents int, load float64, option func(*site), bursts ...burst) *burstSite {
 	const cpu, subsetSize, rackSize = 32000, 48, 8
 	s := &burstSite{site: newSite(seed, 0, 0, 0, option), load: load, bursts: bursts, estimateBias: 1, failingSlowdown: 1, sharedWith: make(map[*entry]*entry)}
@@ -117,7 +119,7 @@
 	return s
 }
 
-// simulate lets jobs come for some time, and the site run until all are answered.
+// simulate submits jobs for some time, and runs the site until all are answered.
 func (s *burstSite) simulate(length time.Duration) {
 	s.started = s.now
 	rate := s.load * s.cores() / meanVariedJobWork()
@@ -129,7 +131,7 @@
 	s.run(length + 5*time.Second)
 }
 
-// cores returns the cores of all workers.
+// cores returns the number of cores of all workers.
 func (s *burstSite) cores() float64 {
 	sum := 0
 	for _, a := range s.agents {
@@ -138,7 +140,7 @@
 	return float64(sum) / 1000
 }
 
-// meanVariedJobWork is the mean work of a job, in core-seconds.
+// meanVariedJobWork returns the mean work of a job, in core-seconds.
 func meanVariedJobWork() float64 {
 	sum := 0.0
 	for _, k := range variedKinds {
@@ -147,7 +149,8 @@
 	return sum
 }
 
-// scheduleVariedArrivals submits jobs of a kind to an entry, perSecond of them on average while there is no burst.
+// scheduleVariedArrivals submits jobs of a kind to an entry at random times, perSecond of them on average outside
+// bursts.
 func (s *burstSite) scheduleVariedArrivals(number int, e *entry, k variedKind, perSecond float64, length time.Duration) {
 	most := 1.0
 	for _, b := range s.bursts {
@@ -166,7 +169,7 @@
 	})
 }
 
-// factorAt returns by how many times more jobs of a kind come to an entry than usual.
+// factorAt returns the factor by which the rate of a kind at an entry exceeds the usual rate.
 func (s *burstSite) factorAt(age time.Duration, number int, e *entry, k variedKind) float64 {
 	factor := 1.0
 	for _, b := range s.bursts {
@@ -177,7 +180,7 @@
 	return factor
 }
 
-// submitVaried hands a job of random sizes to an entry.
+// submitVaried submits a job of random size to an entry.
 func (s *burstSite) submitVaried(e *entry, k variedKind) {
 	s.lastJob++
 	id := fmt.Sprintf("%016x", s.lastJob)
@@ -220,12 +223,13 @@
 	e.submit(submitted, func(answer dispatch.Answer) { j.answer, j.took = answer, s.now.Sub(began) })
 }
 
-// logNormalFactor returns a random factor with a mean of about 1, whose logarithm has a standard deviation.
+// logNormalFactor returns a random factor with a mean of about 1 and the given standard deviation of its logarithm,
+// up to a maximum.
 func (s *burstSite) logNormalFactor(deviation, largest float64) float64 {
 	return math.Min(math.Exp(s.random.NormFloat64()*deviation-deviation*deviation/2), largest)
 }
 
-// served returns the part of the jobs on time, by their work, among those for which matches returns true, and their number.
+// served returns the share on time, weighted by work, of the jobs for which matches returns true, and their number.
 func (s *burstSite) served(matches func(*variedJob) bool) (share float64, jobs int) {
 	var all, onTime float64
 	for _, j := range s.jobs {
@@ -241,7 +245,8 @@
 	return onTime / math.Max(all, 1e-9), jobs
 }
 
-// during returns a condition for served: the job came in a time, and is of a kind and zone unless these are empty.
+// during returns a condition for served: the job arrived between from and to, and is of the kind and zone unless
+// these are empty.
 func during(from, to time.Duration, kind, zone string) func(*variedJob) bool {
 	return func(j *variedJob) bool {
 		return j.arrived >= from && j.arrived < to && (kind == "" || kind == j.kind.Name) && (zone == "" || zone == j.zone)
--- a/internal/overload/site_test.go
+++ b/internal/overload/site_test.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// sessionDelay is the time of a message between an entry and an agent: that between two availability zones.
+	// sessionDelay is the latency of a message between an entry and an agent in different availability zones.
 	sessionDelay = 1400 * time.Microsecond
-	// entryTick and agentTick are the times between two ticks, as in packages entry and agent.
+	// entryTick and agentTick are the tick intervals, as in packages entry and agent.
 	entryTick = 10 * time.Millisecond
 	agentTick = 20 * time.Millisecond
-	// workerCPU is the capacity of a worker and taskCPU what a task needs, in thousandths of a core: four tasks fit.
+	// workerCPU is the capacity of a worker and taskCPU the demand of a task, in thousandths of a core: four tasks
+	// fit.
 	workerCPU = 16000
 	taskCPU   = 3800
 	service   = "service"
 )
 
-// origin is when a site starts.
+// origin is the virtual time at which a site starts.
 var origin = time.Unix(1_000_000, 0)
 
-// action is something that happens at a time. Actions of the same time happen in the order of their serial numbers.
+// action is a call scheduled at a time. Actions of the same time run in the order of their serial numbers.
 type action struct {
 	at     time.Time
 	serial int
@@ -55,44 +56,44 @@
 	return last
 }
 
-// site is a number of entries and agents in virtual time.
+// site simulates entries and agents in virtual time.
 type site struct {
 	now    time.Time
 	queue  actions
 	serial int
 	random *rand.Rand
-	// faults draws what goes wrong on workers. It is a source of its own, so that the same jobs come with and without faults.
+	// faults is the random source of worker faults. It is separate from random, so that the same jobs arrive with and
+	// without faults.
 	faults  *rand.Rand
 	entries []*entry
 	agents  map[dispatch.AgentID]*agent
-	// starts counts the starts of each task, crashes how many workers have crashed under it, and startsAtThird its starts
-	// until the third crash.
+	// starts counts the starts of each task, crashes the crashes of workers under it, and startsAtThirdCrash its
+	// starts until the third crash.
 	starts             map[string]int
 	crashes            map[string]int
 	startsAtThirdCrash map[string]int
-	// failedRuns counts the runs that failed.
-	failedRuns int
-	// failing are the shares of the runs, 0 to 1, of some tasks that fail on any worker.
+	failedRuns         int
+	// failing is the share of the runs, 0 to 1, that fail on any worker, by task.
 	failing map[string]float64
-	// allCrashes counts the crashes of workers, each of which is away for restartAfter.
+	// allCrashes counts the crashes of workers, each of which is down for restartAfter.
 	allCrashes   int
 	restartAfter time.Duration
-	// crashAfter is how long after its start a task of crashPayload crashes its worker.
+	// crashAfter is the time from the start of a task of crashPayload to the crash of its worker.
 	crashAfter time.Duration
-	// runTimes has the run times of some tasks, in place of that in their payload.
+	// runTimes overrides the run time in the payload, by task.
 	runTimes map[string]time.Duration
-	// racks has the rack of the data of some tasks. Elsewhere they take farTimes times as long.
+	// racks is the rack that holds the data, by task. In other racks the task takes crossRackFactor times as long.
 	racks           map[string]string
 	crossRackFactor float64
-	// onStart is called after each start that a worker has accepted, unless it is nil.
+	// onStart, if not nil, is called after each start that a worker accepted.
 	onStart func(w *fakeWorker, task string)
 	// limits are those of all entries.
 	limits dispatch.Limits
-	// givenUp are the decisions to give a job up, in their order.
+	// givenUp lists the decisions to give a job up, in their order.
 	givenUp []dispatch.DecisionMade
-	// onDecision is called with what the entries decide, unless it is nil.
+	// onDecision, if not nil, is called with each decision of an entry.
 	onDecision func(dispatch.DecisionMade)
-	// lastSession is the ID of the session that was opened last.
+	// lastSession is the ID of the latest session.
 	lastSession runner.SessionID
 }
 
@@ -104,7 +105,7 @@
 	}
 }
 
-// recordDecision keeps a decision to give a job up, and tells who wants to know.
+// recordDecision calls onDecision, and stores a decision to give a job up.
 func (s *site) recordDecision(made dispatch.DecisionMade) {
 	if s.onDecision != nil {
 		s.onDecision(made)
@@ -114,7 +115,7 @@
 	}
 }
 
-// recordCrash counts the crash of a worker under its runs.
+// recordCrash counts the crash of a worker for each task that was running on it.
 func (s *site) recordCrash(running map[string]fakeRun) {
 	s.allCrashes++
 	for task := range running {
@@ -125,8 +126,8 @@
 	}
 }
 
-// newSite returns a site on which each entry has sessions with a subset of the agents, and lets it run until all workers
-// accept tasks. options may change it before that.
+// newSite returns a site on which each entry has sessions with a subset of the agents, and runs it until all workers
+// accept tasks. options are applied before that.
 func newSite(seed uint64, entries, agents, subsetSize int, options ...func(*site)) *site {
 	s := &site{
 		now: origin, random: rand.New(rand.NewPCG(seed, 1)), faults: rand.New(rand.NewPCG(seed, 2)), agents: make(map[dispatch.AgentID]*agent),
@@ -141,10 +142,11 @@
 	return s
 }
 
-// zones are the availability zones in which the entries are, in turn.
+// zones are the availability zones to which the entries are assigned in turn.
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// build adds entries and agents, and lets the site run until all workers accept tasks. describe may change an agent before its worker begins.
+// build adds entries and agents, and runs the site until all workers accept tasks. configure may change an agent
+// before its worker starts.
 func (s *site) build(entries, agents, subsetSize int, configure func(number int, a *agent)) {
 	var names []string
 	var registered []dispatch.AgentID
@@ -168,7 +170,7 @@
 	heap.Push(&s.queue, action{at: s.now.Add(d), serial: s.serial, do: do})
 }
 
-// every calls do at regular intervals, beginning at a random time within the first.
+// every calls do at regular intervals, the first time after a random part of one.
 func (s *site) every(interval time.Duration, do func()) {
 	var next func()
 	next = func() {
@@ -195,7 +197,7 @@
 	runner  *runner.Runner
 	worker  *fakeWorker
 	entries map[runner.SessionID]*entry
-	// delay is the time of a message between the agent and its worker.
+	// delay is the latency of a message between the agent and its worker.
 	delay time.Duration
 	// cpu is the capacity of its worker, in thousandths of a core, and rack its label.
 	cpu  int
@@ -212,14 +214,13 @@
 	return a
 }
 
-// agentLimits returns the limits of the agents.
 func (s *site) agentLimits() runner.Limits {
 	limits := runner.DefaultLimits(time.Second, 50*time.Millisecond)
 	limits.NoEjection, limits.NoShares = s.limits.NoEjection, s.limits.NoShares
 	return limits
 }
 
-// restart replaces the process of the agent. Its entries open their sessions again.
+// restart replaces the process of the agent, and its entries reopen their sessions.
 func (a *agent) restart() {
 	a.runner, a.isEjected = runner.New(a.site.agentLimits(), 2), false
 	for _, id := range slices.Sorted(maps.Keys(a.entries)) {
@@ -236,7 +237,7 @@
 	}
 }
 
-// apply carries out an effect: it sends a message to an entry, echoes a ping, or calls the worker.
+// apply carries out an effect: it sends a message to an entry, sends a ping, or calls the worker.
 func (a *agent) apply(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.SendLoad:
@@ -271,7 +272,7 @@
 	})
 }
 
-// ping sends a ping to an entry, which echoes it.
+// ping sends a ping to an entry, which returns it.
 func (a *agent) ping(ping runner.SendPing) {
 	to := a.entries[ping.Session]
 	to.in.carry(a.site, messageSize, func() {
@@ -283,22 +284,22 @@
 type entry struct {
 	site *site
 	name string
-	// zone is its availability zone, empty if that does not matter.
+	// zone is its availability zone, empty if not relevant.
 	zone       string
 	dispatcher *dispatch.Dispatcher
 	lastWaiter dispatch.Waiter
-	// crashes are those that the entry spreads to others.
+	// crashes are the crash records that the entry propagates to others.
 	crashes []dispatch.WorkerCrashed
 	// onAnswer is called with the answer to each request.
 	onAnswer map[dispatch.Waiter]func(dispatch.Answer)
-	// sessions are the open sessions by agent; in and out are the two directions of the link.
+	// sessions are the open sessions by agent; in and out are the two directions of the network link.
 	sessions map[dispatch.AgentID]runner.SessionID
 	in, out  *link
-	// lastPayloads are those of the latest starts.
+	// lastPayloads is the payload of the latest start, by agent.
 	lastPayloads map[dispatch.AgentID]string
-	// refusedBy has when other entries refused a job of this one last.
+	// refusedBy is the time of the latest refusal of a job handed over by this entry, by entry.
 	refusedBy map[*entry]time.Time
-	// rewriteEvent changes each event before it is sent to an agent, unless it is nil.
+	// rewriteEvent, if not nil, changes each event before it is sent to an agent.
 	rewriteEvent func(runner.Event) runner.Event
 }
 
@@ -315,7 +316,7 @@
 	return e
 }
 
-// exchangeCrashes tells another entry, at random, of the crashes that this one knows, and learns of those that the other one knows.
+// exchangeCrashes exchanges crash records with a random other entry.
 func (e *entry) exchangeCrashes() {
 	other := e.site.entries[e.site.random.IntN(len(e.site.entries))]
 	own, others := e.crashes, other.crashes
@@ -337,15 +338,15 @@
 	e.sendTo(a, messageSize, runner.SessionOpened{Session: id, Entry: e.name, Zone: e.zone})
 }
 
-// isOpen reports whether a session with an agent is the present one.
+// isOpen reports whether a session with an agent is the current one.
 func (e *entry) isOpen(id dispatch.AgentID, session runner.SessionID) bool {
 	return e.sessions[id] == session
 }
 
-// redialDelay is the time after which an entry opens a lost session again.
+// redialDelay is the delay before an entry reopens a lost session.
 const redialDelay = 100 * time.Millisecond
 
-// reopenSession ends a session that its agent has closed, and opens another one.
+// reopenSession ends a session that its agent has closed, and opens a new one.
 func (e *entry) reopenSession(a *agent, id runner.SessionID) {
 	a.site.after(0, func() { a.handle(runner.SessionClosed{Session: id}) })
 	e.in.carry(a.site, messageSize, func() {
@@ -405,7 +406,7 @@
 	e.out.carry(e.site, size, func() { a.handle(event) })
 }
 
-// sendStart sends a start, with its payload unless that of the start before was the same.
+// sendStart sends a start, without its payload if that of the previous start was the same.
 func (e *entry) sendStart(f dispatch.StartTask) {
 	size := messageSize + startSize
 	if e.lastPayloads[f.Agent] != f.Task.Payload {
@@ -415,7 +416,7 @@
 	e.sendBytes(f.Agent, size, runner.StartRequested{Session: e.sessions[f.Agent], Number: f.Number, Task: f.Task})
 }
 
-// submit hands a job to the entry. answered is called with its answer.
+// submit submits a job to the entry. answered is called with its answer.
 func (e *entry) submit(job dispatch.Job, answered func(dispatch.Answer)) {
 	e.lastWaiter++
 	e.onAnswer[e.lastWaiter] = answered
--- a/internal/overload/traffic_test.go
+++ b/internal/overload/traffic_test.go
@@ -11,17 +11,17 @@
 	"sailhead/internal/worker"
 )
 
-// kind is a kind of job of which all tasks take the same time.
+// kind is a kind of which all tasks take the same time.
 type kind struct {
 	dispatch.Kind
 	tasks int
 	each  time.Duration
-	// share is the part of all jobs that are of the kind.
+	// share is the share of the kind among all jobs.
 	share float64
 }
 
-// kinds are three kinds of jobs as a booking service has them: wide and short ones first, then short ones, then long ones. Their
-// objective is 1.6 times the time of their tasks and 60 ms more.
+// kinds are three kinds of jobs as in a booking service: many short tasks, few short tasks, and long tasks. Their
+// objective is 1.6 times the run time of a task plus 60 ms.
 var kinds = []kind{
 	{Kind: newKind("lookup", 0), tasks: 8, each: 60 * time.Millisecond, share: 0.25},
 	{Kind: newKind("reminder", 1), tasks: 2, each: 200 * time.Millisecond, share: 0.7},
@@ -36,7 +36,7 @@
 	return time.Duration(k.Stretch*float64(k.each)) + k.Target
 }
 
-// meanWork is the mean work of a job, in thousandths of a core times seconds.
+// meanWork returns the mean work of a job, in thousandths of a core times seconds.
 func meanWork() float64 {
 	sum := 0.0
 	for _, k := range kinds {
@@ -45,37 +45,36 @@
 	return sum
 }
 
-// traffic submits jobs to a site and counts how they end.
+// traffic submits jobs to a site and counts their results.
 type traffic struct {
 	site *site
-	// load is the work that comes, as a part of what all workers do.
+	// load is the submitted work as a fraction of the capacity of all workers.
 	load    float64
 	until   time.Time
 	lastJob int
-	// crashing is the part of the jobs of the kind crashingKind whose first task crashes its workers.
+	// crashing is the share of the jobs of crashingKind whose first task crashes its workers.
 	crashing     float64
 	crashingKind string
-	// refused is called for each job that was refused, with the time at which its caller tried first; nil for nothing.
+	// refused, if not nil, is called for each refused job with the time of its caller's first attempt.
 	refused func(k kind, first time.Time, answer dispatch.NotRun)
-	// served is called for each job that is completed, with the same time; nil for nothing.
+	// served, if not nil, is called for each completed job with the time of its caller's first attempt.
 	served func(first time.Time)
 
-	// The counts are those of the other jobs, and kinds the same by the name of their kind.
+	// counts are the results of the jobs that crash no worker, and kinds the same by kind.
 	counts
 	kinds map[string]*counts
 	// crashed counts the jobs that crash workers.
 	crashed int
 }
 
-// counts are numbers of jobs by how they ended.
+// counts are numbers of jobs by result.
 type counts struct {
 	submitted, onTime, late, givenUp, failed, notRun int
 }
 
-// onTimeShare returns the part of the jobs that were on time.
+// onTimeShare returns the share of the jobs that were on time.
 func (c counts) onTimeShare() float64 { return float64(c.onTime) / float64(max(c.submitted, 1)) }
 
-// plus returns the sum of both.
 func (c counts) plus(other counts) counts {
 	return counts{
 		submitted: c.submitted + other.submitted, onTime: c.onTime + other.onTime, late: c.late + other.late,
@@ -83,7 +82,6 @@
 	}
 }
 
-// minus returns the counts without others.
 func (c counts) minus(other counts) counts {
 	return counts{
 		submitted: c.submitted - other.submitted, onTime: c.onTime - other.onTime, late: c.late - other.late,
@@ -91,7 +89,7 @@
 	}
 }
 
-// count adds a job to the counts of all and of its kind.
+// count applies add to the counts of all jobs and to those of the kind.
 func (t *traffic) count(k kind, add func(*counts)) {
 	if t.kinds == nil {
 		t.kinds = make(map[string]*counts)
@@ -103,10 +101,11 @@
 	add(t.kinds[k.Name])
 }
 
-// callersPerEntry are the numbers of callersPerEntry of four entries in turn, as a balancer that hashes its callersPerEntry leaves them.
+// callersPerEntry are the numbers of callers of four successive entries, uneven as behind a load balancer that hashes
+// its clients.
 var callersPerEntry = []int{0, 1, 1, 4}
 
-// start submits jobs at random times until the end of the traffic.
+// start submits jobs at random times for the given time.
 func (t *traffic) start(length time.Duration) {
 	t.until = t.site.now.Add(length)
 	all := 0
@@ -121,7 +120,7 @@
 	}
 }
 
-// scheduleArrivals submits jobs to one entry, perSecond of them on average.
+// scheduleArrivals submits jobs to one entry at random times, perSecond of them on average.
 func (t *traffic) scheduleArrivals(e *entry, perSecond float64) {
 	gap := time.Duration(t.site.random.ExpFloat64() / perSecond * float64(time.Second))
 	t.site.after(gap, func() {
@@ -138,7 +137,6 @@
 	})
 }
 
-// randomKind returns a random kind.
 func (t *traffic) randomKind() kind {
 	at := t.site.random.Float64()
 	for _, k := range kinds {
@@ -149,7 +147,7 @@
 	return kinds[0]
 }
 
-// submitCrashing hands a job to an entry whose first task crashes its workers.
+// submitCrashing submits a job whose first task crashes its workers.
 func (t *traffic) submitCrashing(e *entry, k kind) {
 	t.lastJob++
 	t.crashed++
@@ -158,13 +156,12 @@
 	e.submit(job, func(dispatch.Answer) {})
 }
 
-// job returns a new job of a kind.
 func (t *traffic) job(k kind) dispatch.Job {
 	step := dispatch.Step{Count: k.tasks, Needs: worker.Resources{CPU: taskCPU, Memory: 64}, Expected: k.each}
 	return dispatch.Job{ID: fmt.Sprintf("%016x", t.lastJob), Payload: k.each.String(), Kind: k.Kind, Steps: []dispatch.Step{step}}
 }
 
-// submit hands a job to an entry. first is when its caller tried first.
+// submit submits a job to an entry. first is the time of its caller's first attempt.
 func (t *traffic) submit(e *entry, k kind, first time.Time) {
 	t.lastJob++
 	began := t.site.now
--- a/internal/overload/worker_test.go
+++ b/internal/overload/worker_test.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	// workerDelay is the time of a message between an agent and its worker, unless agent.delay says otherwise.
+	// workerDelay is the latency of a message between an agent and its worker, unless agent.delay overrides it.
 	workerDelay = 200 * time.Microsecond
-	// callTimeout bounds a start or a stop, renewTimeout a renewal beyond the time that it may wait, as in the client of the worker.
+	// callTimeout limits a start or a stop. renewTimeout limits a renewal in addition to the time of its long poll,
+	// as in the client of the worker.
 	callTimeout  = 25 * time.Millisecond
 	renewTimeout = 50 * time.Millisecond
 )
@@ -35,32 +36,34 @@
 }
 
 const (
-	// crashPayload comes before the run time in the payload of a job whose first task crashes its worker, crashAfter after its
-	// start, unless site.crashAfter says otherwise.
+	// crashPayload is the prefix of the run time in the payload of a job whose first task crashes its worker. The
+	// crash happens crashAfter after the start of the task, unless site.crashAfter overrides it.
 	crashPayload = "crash "
 	crashAfter   = 10 * time.Millisecond
-	// restartAfter is how long after a crash the next incarnation of the worker begins, unless site.restartAfter says otherwise.
+	// restartAfter is the time from a crash to the next incarnation of the worker, unless site.restartAfter overrides
+	// it.
 	restartAfter = 2 * time.Second
 )
 
-// fakeWorker is a worker that carries out every call. The payload of a task is its run time, with or without crashPayload.
+// fakeWorker is a simulated worker that carries out every call. The payload of a task is its run time, with or
+// without crashPayload.
 type fakeWorker struct {
 	site  *site
 	agent *agent
-	// id is the current incarnation, incarnations how many there were, and isDown is set between two of them.
+	// id is the current incarnation, incarnations the number of them so far, and isDown is set between two of them.
 	id           string
 	incarnations int
 	isDown       bool
-	// timeFactor is by how many times runs take longer than their payload says, zero for 1.
+	// timeFactor is the factor of all run times, zero for 1.
 	timeFactor float64
-	// fault is what is wrong with it at present, the zero value nothing.
+	// fault is the current fault; the zero value is none.
 	fault   fault
 	running map[string]fakeRun
 	ends    []worker.End
 	lastEnd uint64
-	// heartbeats counts the heartbeats.
+	// heartbeats counts the heartbeats sent.
 	heartbeats uint64
-	// longPoll answers the long longPoll that waits for an end, nil if there is none.
+	// longPoll answers the pending long poll, nil if there is none.
 	longPoll func(worker.RenewResult)
 }
 
@@ -70,7 +73,7 @@
 	return w
 }
 
-// startIncarnation begins an incarnation, and lets it report to the agent.
+// startIncarnation starts a new incarnation, which reports to the agent.
 func (w *fakeWorker) startIncarnation() {
 	w.incarnations++
 	w.id = fmt.Sprintf("%s-%d", w.agent.id, w.incarnations)
@@ -78,7 +81,6 @@
 	w.site.after(0, func() { w.sendHeartbeat(false) })
 }
 
-// sendHeartbeat sends a heartbeat to the agent.
 func (w *fakeWorker) sendHeartbeat(isDraining bool) {
 	w.heartbeats++
 	capacity := worker.Resources{CPU: w.agent.cpu, Memory: 128 << 10}
@@ -86,7 +88,7 @@
 	w.agent.handle(runner.HeartbeatReceived{Record: record})
 }
 
-// crash ends the incarnation with all its runs. The next one begins after site.restartAfter.
+// crash ends the incarnation with all its runs. The next one starts after site.restartAfter.
 func (w *fakeWorker) crash() {
 	if w.isDown {
 		return
@@ -97,14 +99,14 @@
 	w.site.after(w.site.restartAfter, w.startIncarnation)
 }
 
-// closeLongPoll closes the connection of the long poll that waits.
+// closeLongPoll closes the connection of the pending long poll.
 func (w *fakeWorker) closeLongPoll() {
 	if w.longPoll != nil {
-		w.longPoll(worker.Unanswered{Reason: "the connection was closed", IsClosed: true})
+		w.longPoll(worker.Unanswered{Reason: "connection closed", IsClosed: true})
 	}
 }
 
-// reject returns why a call to an incarnation is not carried out, or nil.
+// reject returns why a call to an incarnation is not carried out, or nil if it is.
 func (w *fakeWorker) reject(incarnation string) worker.Failure {
 	switch {
 	case w.isDown:
@@ -143,7 +145,7 @@
 		length, ending = minFailTime, worker.EndingFailed
 	}
 	if isLost {
-		return worker.Unanswered{Reason: "the connection was closed", IsClosed: true}
+		return worker.Unanswered{Reason: "connection closed", IsClosed: true}
 	}
 	if crashes && strings.HasSuffix(request.Name, ".0.0.0") {
 		w.site.after(w.site.crashAfter, func() { w.crashIfRunning(incarnation, request.Name, request.Run) })
@@ -154,7 +156,7 @@
 	return worker.Accepted{Reply: w.reply()}
 }
 
-// crashIfRunning crashes the worker if the run of a task has not ended.
+// crashIfRunning crashes the worker unless the run has ended.
 func (w *fakeWorker) crashIfRunning(incarnation, name string, run uint32) {
 	if w.id == incarnation && w.running[name].run == run {
 		w.crash()
@@ -169,7 +171,7 @@
 	return worker.Accepted{Reply: w.reply()}
 }
 
-// end ends a run, unless it has ended before, and answers the long poll.
+// end ends a run, unless it has already ended, and answers the pending long poll.
 func (w *fakeWorker) end(incarnation, name string, run uint32, ending worker.Ending) {
 	if w.id != incarnation || w.isDown || w.running[name].run != run {
 		return
@@ -185,7 +187,7 @@
 	}
 }
 
-// renew calls answer with the listing: at once, or for a long poll once a run has ended or the wait is over.
+// renew calls answer with the listing: at once, or for a long poll when a run ends or the time of the poll is over.
 func (w *fakeWorker) renew(incarnation string, request worker.RenewRequest, answer func(worker.RenewResult)) {
 	if failure := w.reject(incarnation); failure != nil {
 		answer(failure)
@@ -219,7 +221,7 @@
 	return listing
 }
 
-// call sends a call of an agent to its worker and hands the agent the answer, or none if that takes too long.
+// call sends a call of an agent to its worker and passes the result to the agent.
 func (a *agent) call(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.CallStart:
@@ -244,7 +246,8 @@
 	}
 }
 
-// roundTrip carries a call to the worker and the event made of its result back. The result is Unanswered after the timeout.
+// roundTrip carries a call to the worker, and the event made of its result back. The result is Unanswered after the
+// timeout.
 func roundTrip[Result any](a *agent, timeout time.Duration, event func(Result) runner.Event, call func(back func(Result))) {
 	isOver := false
 	end := func(result Result) {
