--- a/internal/overload/crash_test.go
+++ b/internal/overload/crash_test.go
@@ -14,22 +14,20 @@
 )
 
 var (
-	// crashSeeds is the number of seeds of each case; by hand more of them give the figures.
+	// crashSeeds is the number of seeds of each case. The published figures come from manual runs with more seeds.
 	crashSeeds = flag.Uint64("crash.seeds", 1, "number of seeds for each case of tasks that crash workers")
-	// crashAfterStart is how long after its start such a task crashes its worker.
+	// crashAfterStart is the time from the start of such a task to the crash of its worker.
 	crashAfterStart = flag.Duration("crash.after", crashAfter, "how long after its start a task crashes its worker")
 )
 
-// TestATaskThatCrashesItsWorkersIsGivenUp plays the pattern of a job of which one task crashes each worker that starts it.
+// TestATaskThatCrashesItsWorkersIsGivenUp covers a job of which one task crashes each worker that starts it.
 //
-// Seen: one refund took eight of eleven workers away within two seconds, and for a time no other caller was served. It came
-// about through one entry and one job: each time the agent reported the run as lost, the entry sent the task to the next worker
-// within 10 ms. Cause: a run that is lost with its worker went back to the waiting tasks at once, and nothing counted it; only
-// runs that the worker reports as failed were counted. Proof: the log of that one entry has all crashes, with rising run numbers
-// and one agent after the other, and this test repeats it without a network.
+// The failure: one refund job crashed eight of eleven workers within two seconds, and for a time no other caller was
+// served. Each time the agent reported the run as lost, the entry sent the task to the next worker within 10 ms. Only
+// runs that the worker reported as failed were counted as attempts, not those lost with their worker.
 //
-// Grounds for its figures: one crash may have any cause, and the second one under the same task is enough to give it up. The
-// users allow five starts: two more after the third crash.
+// One crash may have any cause, so the second one under the same task is required to give it up. Users allow five
+// starts: two more after the third crash.
 func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	t.Parallel()
 	s := newSite(1, 4, 11, 11)
@@ -38,7 +36,7 @@
 	s.run(10 * time.Second)
 	s.checkCrashes(t, 2)
 	if _, isFailed := answer.(dispatch.Failed); !isFailed {
-		t.Errorf("the caller is answered with %T, want Failed", answer)
+		t.Errorf("got answer %T, want Failed", answer)
 	}
 }
 
@@ -50,26 +48,28 @@
 	}
 }
 
-// checkCrashes checks that no task was started again after a number of crashes.
+// checkCrashes checks that at most most workers crashed under each task, and that no task was started three times or
+// more after its third crash.
 func (s *site) checkCrashes(t *testing.T, most int) {
 	t.Helper()
 	for task, crashes := range s.crashes {
 		if crashes > most {
-			t.Errorf("%d workers crashed under %s, want %d at most", crashes, task, most)
+			t.Errorf("%d workers crashed under task %s, want at most %d", crashes, task, most)
 		}
 		if more := s.starts[task] - s.startsAtThirdCrash[task]; crashes >= 3 && more >= 3 {
-			t.Errorf("%s was started %d times more after three workers had crashed under it", task, more)
+			t.Errorf("task %s was started %d more times after three workers had crashed under it, want at most 2", task, more)
 		}
 	}
 }
 
-// TestOthersAreServedBesideTasksThatCrashWorkers plays the pattern of the most frequent kind of job, a part of which crashes
+// TestOthersAreServedBesideTasksThatCrashWorkers covers a share of the jobs of the most frequent kind that crash
 // workers, among kinds that do not.
 //
-// Grounds for its figures: each worker is away for 2 s after a crash. At half of all cores and 1 % of the kind the workers that
-// are away are spare, so nearly everybody is served. At 5 % a third of all workers is away at any time. Over twelve seeds 0.996,
-// 0.833, 0.864 and 0.551 of the others are on time, in the order of the cases, and without the rules of dispatch/crash.go
-// 0.628, 0.261, 0.452 and 0.179 over six. A task that is suspected by chance is given up in 0.2, 21, 0.1 and 13 of 10,000 jobs.
+// Each worker is down for 2 s after a crash. At half of all cores and 1 % of the kind, spare capacity covers the
+// workers that are down, so nearly all other jobs are served. At 5 % a third of all workers is down at any time. Over
+// twelve seeds 0.996, 0.833, 0.864 and 0.551 of the other jobs completed on time, in the order of the cases; without
+// the rules of dispatch/crash.go 0.628, 0.261, 0.452 and 0.179 over six seeds. Of 10,000 jobs that crash no worker
+// 0.2, 21, 0.1 and 13 are given up, as workers crash under them by coincidence.
 func TestOthersAreServedBesideTasksThatCrashWorkers(t *testing.T) {
 	for _, test := range []struct{ load, share, onTime, givenUp float64 }{
 		{0.5, 0.01, 0.98, 0.0005},
@@ -92,26 +92,26 @@
 				crashed, crashes = crashed+traffic.crashed, crashes+s.allCrashes
 			}
 			each, givenUp := float64(crashes)/float64(crashed), float64(sum.givenUp)/float64(sum.submitted)
-			t.Logf("%d jobs crash workers, %.2f each; of %d others %.4f on time, %d late, %d not run, %d given up",
+			t.Logf("%d jobs crash workers, %.2f crashes each; of %d other jobs %.4f on time, %d late, %d not run, %d given up",
 				crashed, each, sum.submitted, sum.onTimeShare(), sum.late, sum.notRun, sum.givenUp)
 			if sum.onTimeShare() < test.onTime {
-				t.Errorf("%.3f of the others are on time, want %.2f", sum.onTimeShare(), test.onTime)
+				t.Errorf("%.3f of the other jobs completed on time, want at least %.2f", sum.onTimeShare(), test.onTime)
 			}
 			if givenUp > test.givenUp {
-				t.Errorf("%.4f of the others are given up, want %.4f at most", givenUp, test.givenUp)
+				t.Errorf("%.4f of the other jobs were given up, want at most %.4f", givenUp, test.givenUp)
 			}
 			if each > 2.1 {
-				t.Errorf("%.2f crashes for each job that crashes workers, want 2.1 at most", each)
+				t.Errorf("%.2f crashes per job that crashes workers, want at most 2.1", each)
 			}
 		})
 	}
 }
 
-// TestACrashIsKnownAtTheEntryOfTheNextSubmission plays the pattern of a caller that leaves early and submits its job again at
+// TestACrashIsKnownAtTheEntryOfTheNextSubmission covers a caller that disconnects early and submits its job again at
 // another entry, which has sessions with other agents.
 //
-// Grounds for its figures: a caller comes back after 1.3 s. Entries exchange what they know about twice a second with one other,
-// so by then most have heard of a crash, and all after two or three more exchanges. Each entry that has not costs two more
+// A caller retries after 1.3 s. Each entry exchanges its crash records with one other entry about twice a second, so
+// by then most know of a crash, and all do after two or three more exchanges. Each entry that does not costs two more
 // workers: twelve crash if crashes are known only where the agent has a session.
 func TestACrashIsKnownAtTheEntryOfTheNextSubmission(t *testing.T) {
 	t.Parallel()
@@ -134,11 +134,11 @@
 	s.checkCrashes(t, 2)
 }
 
-// TestJobsOutliveWorkersThatAreKilled plays the pattern of workers whose processes are killed now and then, under whatever runs there:
-// no task crashes anything.
+// TestJobsOutliveWorkersThatAreKilled covers worker processes that are killed at random, whatever runs on them. No
+// task crashes a worker.
 //
-// Grounds for its figures: a job may be given up once two workers have crashed under a task of it, and none of these should be.
-// Killed workers are away for 2 s, a third of them at any time if each is killed every 4 s on average.
+// A job may be given up once two workers have crashed under one of its tasks, but none of these should be. Killed
+// workers are down for 2 s, which is a third of them at any time if each is killed every 4 s on average.
 func TestJobsOutliveWorkersThatAreKilled(t *testing.T) {
 	for _, test := range []struct {
 		every   time.Duration
@@ -151,24 +151,25 @@
 			for seed := range max(*crashSeeds, minKillSeeds) {
 				s, traffic := simulateKills(seed+1, test.every)
 				for _, made := range s.givenUp {
-					t.Logf("seed %d: %s is given up: %+v", seed+1, made.Task, made.Decision)
+					t.Logf("seed %d: job of task %s given up: %+v", seed+1, made.Task, made.Decision)
 				}
 				sum, kills = sum.plus(traffic.counts), kills+s.allCrashes
 			}
 			givenUp := float64(sum.givenUp) / float64(sum.submitted)
 			t.Logf("%d kills; of %d jobs %.4f on time, %d late, %d not run, %d given up", kills, sum.submitted, sum.onTimeShare(), sum.late, sum.notRun, sum.givenUp)
 			if givenUp > test.givenUp {
-				t.Errorf("%.4f of the jobs are given up, want %.4f at most", givenUp, test.givenUp)
+				t.Errorf("%.4f of the jobs were given up, want at most %.4f", givenUp, test.givenUp)
 			}
 		})
 	}
 }
 
-// minKillSeeds is the least number of seeds. The bounds are shares of all jobs, and one seed has 1,720 of them: a few more or less that are
-// given up would decide.
+// minKillSeeds is the minimum number of seeds. The bounds are shares of all jobs, and one seed has 1,720 jobs: with a
+// single seed a few jobs more or less that are given up would decide the result.
 const minKillSeeds = 6
 
-// simulateKills lets traffic run for 10 s on a site whose workers are killed, and returns both when nearly all jobs have ended.
+// simulateKills runs traffic for 10 s on a site whose workers are killed, and returns both once nearly all jobs have
+// ended.
 func simulateKills(seed uint64, every time.Duration) (*site, *traffic) {
 	s := newSite(seed, 12, 48, 48)
 	s.killWorkers(every)
@@ -178,14 +179,14 @@
 	return s, traffic
 }
 
-// killWorkers crashes each worker at random times.
+// killWorkers crashes each worker at random times, with the given mean interval.
 func (s *site) killWorkers(every time.Duration) {
 	for _, a := range s.agentsInOrder() {
 		s.scheduleKill(a.worker, every)
 	}
 }
 
-// scheduleKill crashes a worker at random times.
+// scheduleKill crashes a worker after a random time, and schedules its next crash.
 func (s *site) scheduleKill(w *fakeWorker, every time.Duration) {
 	s.after(time.Duration(s.random.ExpFloat64()*float64(every)), func() {
 		w.crash()
--- a/internal/overload/seed_test.go
+++ b/internal/overload/seed_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// acceptedStart is a start that a worker has accepted.
+// acceptedStart is a start request that a worker accepted.
 type acceptedStart struct {
 	at           time.Time
 	worker, task string
 }
 
-// simulateCrashesAndKills lets jobs that crash workers run beside others on a site whose workers are also killed and whose entries exchange crashes, and
-// returns all starts in their order.
+// simulateCrashesAndKills runs jobs that crash workers among others, on a site whose workers are also killed and
+// whose entries exchange crash records. It returns all starts in their order.
 func simulateCrashesAndKills(seed uint64) []acceptedStart {
 	var starts []acceptedStart
 	s := newSite(seed, 12, 48, 32)
@@ -33,19 +33,20 @@
 	return starts
 }
 
-// TestASeedRepeatsItself plays one seed twice and compares all starts: a failure of a seed must show again.
+// TestASeedRepeatsItself runs one seed twice and compares all starts, as a failure must be reproducible with its
+// seed.
 func TestASeedRepeatsItself(t *testing.T) {
 	t.Parallel()
 	first, again := simulateCrashesAndKills(1), simulateCrashesAndKills(1)
 	if len(first) == 0 {
-		t.Fatal("nothing was started")
+		t.Fatal("no task was started")
 	}
 	for i, start := range first[:min(len(first), len(again))] {
 		if start != again[i] {
-			t.Fatalf("start %d of %d differs: %v, then %v", i, len(first), start, again[i])
+			t.Fatalf("start %d of %d differs between two runs of the same seed: %v, then %v", i, len(first), start, again[i])
 		}
 	}
 	if !slices.Equal(first, again) {
-		t.Fatalf("%d starts, then %d", len(first), len(again))
+		t.Fatalf("the same seed gave %d starts, then %d", len(first), len(again))
 	}
 }
--- a/internal/overload/unheard_test.go
+++ b/internal/overload/unheard_test.go
@@ -13,24 +13,26 @@
 	"sailhead/internal/worker"
 )
 
-// allCrashTimes plays every millisecond of both crashes.
-var allCrashTimes = flag.Bool("unheard.all", false, "play two crashes of workers at every millisecond of both")
+// allCrashTimes runs the test with each combination of crash times, in steps of 1 ms.
+var allCrashTimes = flag.Bool("unheard.all", false, "run two crashes of workers with each combination of times, in steps of 1 ms")
 
-// twoCrashes is a job of two tasks, of which none crashes anything, and two workers that crash for causes of their own, one after the
-// other: the runs of the tasks may have ended before.
+// twoCrashes is a job of two tasks, neither of which crashes a worker, and two workers that crash for unrelated
+// reasons, one after the other. The runs of the tasks may have ended before the crashes.
 type twoCrashes struct {
-	// delay is the time of a message between an agent and its worker.
+	// delay is the latency of a message between an agent and its worker.
 	delay time.Duration
-	// hasUnrecordedEnds is set if an end at each worker is not recorded. Its agent then sends no long polls.
+	// hasUnrecordedEnds is set if each worker has an end that no owner has recorded. Its agent then sends no long
+	// polls.
 	hasUnrecordedEnds bool
-	// pollClosedBefore is how long before each crash the link closes the long poll, zero for never.
+	// pollClosedBefore is how long before each crash the connection of the long poll is closed, zero for never.
 	pollClosedBefore time.Duration
-	// first and second are how long after the first and the second start of firstTask the worker crashes on which it runs.
+	// first and second are the times from the first and the second start of firstTask to the crash of its worker.
 	first, second time.Duration
 }
 
 const (
-	// The run times of the two tasks of the job. The end of the shorter one answers the long poll that waits.
+	// firstRunTime and secondRunTime are the run times of the two tasks. The end of the shorter one answers the
+	// pending long poll.
 	firstRunTime  = 100 * time.Millisecond
 	secondRunTime = 97 * time.Millisecond
 
@@ -39,7 +41,7 @@
 	secondTask = twoTasksID + ".0.0.1"
 )
 
-// simulate returns the job's answer, and under how many crashes the runs of one of its tasks were on the workers, at most.
+// simulate returns the answer to the job, and the larger number of crashes under the runs of one of its tasks.
 func (c twoCrashes) simulate() (answer dispatch.Answer, crashes int) {
 	s := newSite(1, 1, 2, 2)
 	s.runTimes = map[string]time.Duration{secondTask: secondRunTime}
@@ -64,7 +66,6 @@
 	return answer, max(s.crashes[firstTask], s.crashes[secondTask])
 }
 
-// crashAfter crashes a worker after a time.
 func (c twoCrashes) crashAfter(w *fakeWorker, span time.Duration) {
 	if c.pollClosedBefore > 0 {
 		w.site.after(max(span-c.pollClosedBefore, 0), w.closeLongPoll)
@@ -72,7 +73,7 @@
 	w.site.after(span, w.crash)
 }
 
-// addUnrecordedEnds runs a task of a durable job on each worker, whose ends no owner records.
+// addUnrecordedEnds runs one task of a durable job on each worker. No owner records their ends.
 func (s *site) addUnrecordedEnds() {
 	step := dispatch.Step{Count: len(s.agents), Needs: worker.Resources{CPU: taskCPU, Memory: 64}, Expected: 10 * time.Millisecond, PerWorker: 1}
 	job := dispatch.Job{ID: "00000000000000bb", Payload: "10ms", Kind: newKind("durable", 1), Steps: []dispatch.Step{step}}
@@ -80,17 +81,19 @@
 	s.run(200 * time.Millisecond)
 }
 
-// TestARunThatEndedUnheardIsNoEvidence moves the crashes of two workers, one after the other, through the runs of a job that crashes
-// nothing.
+// TestARunThatEndedUnheardIsNoEvidence varies the times at which two workers crash, one after the other, during a job
+// that crashes no worker.
 //
-// Seen: a job was answered as failed because two workers had crashed under a task of it, though only one had. The other run had
-// lasted its 100 ms and was done up to 25 ms before its worker crashed, and the agent had not heard of the end: the long poll that
-// would have told it had just been answered by another end, or there was none as an end was not recorded yet. Nevertheless the
-// agent told the entry that the run had been running for certain, as the worker had accepted or listed it within 150 ms.
-// Cause: that a run was there a moment ago says nothing of an end that has not been heard of. Links need not be slow for that, but
-// the slower they are, the longer an end goes unheard.
-// Proof: in the logs of three such plays the agent noticed the crash 121, 122 and 127 ms after the start of the run in doubt. Here
-// the moments are moved one by one, and the job is given up wrongly at just those at which a run is over and not heard of.
+// The failure: a job was answered as failed because two workers had crashed under one of its tasks, though only one
+// had. The other run was done after its 100 ms, up to 25 ms before its worker crashed, and the agent had not received
+// the end: the long poll that would have returned it had just been answered with another end, or none was sent
+// because an end was not recorded yet. The agent reported the run as certainly running, since the worker had accepted
+// or listed it within 150 ms. But a recent acceptance or listing does not rule out an end since then. This does not
+// require slow links, but the higher the latency, the longer an end is unknown to the agent.
+//
+// In the logs of three such failures the agent noticed the crash 121, 122 and 127 ms after the start of the run
+// concerned. In this test the job was given up wrongly at exactly those crash times at which a run had ended without
+// the agent having received the end.
 func TestARunThatEndedUnheardIsNoEvidence(t *testing.T) {
 	for _, test := range []twoCrashes{
 		{delay: workerDelay},
@@ -104,36 +107,36 @@
 	} {
 		t.Run(fmt.Sprintf("delay=%s/unrecorded=%t/reset=%s", test.delay, test.hasUnrecordedEnds, test.pollClosedBefore), func(t *testing.T) {
 			t.Parallel()
-			plays, givenUp, wrong := 0, 0, 0
+			runs, givenUp, wrong := 0, 0, 0
 			for _, c := range test.atAllTimes() {
 				answer, crashes := c.simulate()
-				plays++
+				runs++
 				if _, isFailed := answer.(dispatch.Failed); !isFailed {
 					continue
 				}
 				givenUp++
 				if crashes < 2 {
 					wrong++
-					t.Logf("given up after crashes %s and %s after the starts, of which %d came under a task", c.first, c.second, crashes)
+					t.Logf("job given up after crashes %s and %s after the starts, though only %d happened under one task", c.first, c.second, crashes)
 				}
 			}
-			t.Logf("%d plays: %d given up, %d of them wrongly", plays, givenUp, wrong)
+			t.Logf("%d runs: %d jobs given up, %d of them wrongly", runs, givenUp, wrong)
 			if wrong > 0 {
-				t.Errorf("%d of %d jobs are given up though fewer than two workers crashed under a task", wrong, plays)
+				t.Errorf("%d of %d jobs were given up though fewer than two workers crashed under one task", wrong, runs)
 			}
 		})
 	}
 }
 
-// atAllTimes returns the plays with both crashes at the atAllTimes of their lists.
+// atAllTimes returns a copy for each combination of crash times.
 func (c twoCrashes) atAllTimes() []twoCrashes {
-	firsts, seconds := timesUntil(140, 3), []int{5, 30, 60, 86, 98, 104, 110, 125}
+	firstTimes, secondTimes := timesUntil(140, 3), []int{5, 30, 60, 86, 98, 104, 110, 125}
 	if *allCrashTimes {
-		firsts, seconds = timesUntil(180, 1), timesUntil(180, 1)
+		firstTimes, secondTimes = timesUntil(180, 1), timesUntil(180, 1)
 	}
 	var all []twoCrashes
-	for _, first := range firsts {
-		for _, second := range seconds {
+	for _, first := range firstTimes {
+		for _, second := range secondTimes {
 			c.first, c.second = time.Duration(first)*time.Millisecond, time.Duration(second)*time.Millisecond
 			all = append(all, c)
 		}
@@ -141,11 +144,11 @@
 	return all
 }
 
-// timesUntil returns the milliseconds from 2 to a last one, step apart.
+// timesUntil returns the times in milliseconds from 2 to last, in the given steps.
 func timesUntil(last, step int) []int {
-	var moments []int
+	var times []int
 	for at := 2; at <= last; at += step {
-		moments = append(moments, at)
+		times = append(times, at)
 	}
-	return moments
+	return times
 }
