--- a/internal/overload/ejection_test.go
+++ b/internal/overload/ejection_test.go
@@ -15,12 +15,11 @@
 )
 
 // noEjection turns the ejection of workers off in all tests of the package.
-var noEjection = flag.Bool("ejection.off", false, "do not eject workers")
+var noEjection = flag.Bool("ejection.off", false, "turn off the ejection of workers")
 
-// ejectionSeed is the seed of the tests of ejection.
 var ejectionSeed = flag.Uint64("ejection.seed", 1, "seed of the tests of ejection")
 
-// The faults of the tests.
+// Faults that the tests inject.
 var (
 	failsAtOnce  = fault{kind: faultFails, share: 0.44}
 	failsHalfway = fault{kind: faultFails, share: 0.44, after: 0.5}
@@ -32,20 +31,21 @@
 )
 
 const (
-	// faultFrom and faultTo are the time in which workers fail, within the burst of the tests and longer.
+	// faultFrom and faultTo delimit the time in which workers are faulty. It starts within longKindBurst and ends
+	// with it.
 	faultFrom, faultTo = 5 * time.Second, 8 * time.Second
-	// faultArrivalsEnd is for how long jobs come.
+	// Jobs arrive until faultArrivalsEnd.
 	faultArrivalsEnd = 9 * time.Second
-	// faultAttempts is how many runs of a task may fail in the tests.
+	// faultAttempts is the number of runs of a task that may fail.
 	faultAttempts = 2
 	// faultEntries and faultAgents are the size of the site.
 	faultEntries, faultAgents = 8, 48
 )
 
-// longKindBurst is a burst with which all workers together are just busy.
+// longKindBurst brings the load up to just what all workers together can process.
 var longKindBurst = burst{kind: "confirmation", factor: 2.5, from: burstFrom, to: burstTo}
 
-// newFaultySite returns a site with the burst of a long kind during which a part of the workers has a fault.
+// newFaultySite returns a site with a burst of a long kind, during which a share of the workers has a fault.
 func newFaultySite(seed uint64, share float64, f fault) *burstSite {
 	s := newBurstSite(seed, faultEntries, faultAgents, baseLoad, longKindBurst)
 	s.attempts = faultAttempts
@@ -53,7 +53,7 @@
 	return s
 }
 
-// setFault gives a part of the workers a fault for a time.
+// setFault injects a fault into a share of the workers between from and to.
 func (s *burstSite) setFault(share float64, f fault, from, to time.Duration) {
 	all := s.agentsInOrder()
 	for _, a := range all[:int(share*float64(len(all))+0.5)] {
@@ -62,15 +62,15 @@
 	}
 }
 
-// outcome is what became of the jobs that came while workers failed.
+// outcome summarises the jobs that arrived while workers were faulty.
 type outcome struct {
-	// served are the parts of the work that were on time, by kind, and that of all kinds under the empty name.
+	// served holds the share of the work completed on time by kind, and of all kinds under the empty name.
 	served map[string]float64
-	// jobs and failed are numbers of jobs, failedRuns is that of the runs that failed.
+	// jobs and failed count jobs; failedRuns counts failed runs.
 	jobs, failed, failedRuns int
 }
 
-// String returns the parts of the work that were on time.
+// String returns the shares of the work that were completed on time.
 func (o outcome) String() string {
 	text := fmt.Sprintf("%.3f", o.served[""])
 	for _, k := range variedKinds {
@@ -79,7 +79,6 @@
 	return text
 }
 
-// simulateFaultyWorkers plays a site with failing workers.
 func simulateFaultyWorkers(seed uint64, share float64, f fault) outcome {
 	s := newFaultySite(seed, share, f)
 	s.simulate(faultArrivalsEnd)
@@ -99,14 +98,18 @@
 	return o
 }
 
-// TestWorkersThatFailInABurst plays the pattern of a burst of a long kind beside workers of which many runs fail, hang or are lost. Without ejection
-// a worker that fails at once is free again at once, so it draws what waits at all entries and fails that too.
+// TestWorkersThatFailInABurst covers a burst of a long kind while many runs on some workers fail, hang or are lost.
+// Without ejection a worker whose runs fail at once has free capacity again at once, so it attracts waiting tasks of
+// all entries and fails them, too.
 //
-// Grounds for its figures: the jobs are served as if the workers were not there (drains), less what finding them costs: of five jobs that run on each
-// at first and nine probes in three seconds most end late if the worker hangs, 100 of 1,900 jobs for seven workers, more of them of the short kind.
-// The failed runs are six until a worker is ejected, with those that run beside, and those of nine probes with one and a half failed runs each, as a
-// few get on to the next ones: 20 for each worker. Hardly any job fails: its two attempts would have to fall on workers that are not found yet, which
-// takes a tenth of a second. Half of the workers are more than may be ejected: their room is used, and three times as many jobs fail.
+// The jobs must be served as if the workers were not there (drains), less the cost of detecting them: of five jobs
+// that run on each worker at first and nine probes in three seconds, most end late if the worker hangs. That is 100
+// of 1,900 jobs for seven workers, and more of them are of the short kind. The bound of 20 failed runs for each
+// worker has two parts: six until the worker is ejected, including those that run concurrently, and nine probes with
+// 1.5 failed runs each, as a few retries reach the next faulty worker. Hardly any job fails, as both of its attempts
+// would have to reach workers that are not ejected yet, and ejection takes a tenth of a second. If half of the
+// workers are faulty, which is more than may be ejected, their capacity is used, and three times as many jobs may
+// fail.
 func TestWorkersThatFailInABurst(t *testing.T) {
 	for _, group := range []struct {
 		share  float64
@@ -127,32 +130,32 @@
 	}
 }
 
-// checkFaultOutcome checks what became of the jobs beside failing workers, compared with the same jobs without these workers.
+// checkFaultOutcome compares the results with faulty workers with those of the same jobs while these workers drain.
 func checkFaultOutcome(t *testing.T, share float64, failing, without outcome) {
-	const cost, kindCost, runsEach, mostEjected = 0.04, 0.08, 20, 0.3
-	t.Logf("%d jobs, %d failed, %d failed runs, served %s; without the workers %s", failing.jobs, failing.failed, failing.failedRuns, failing, without)
+	const cost, kindCost, maxRunsEach, maxEjectedShare = 0.04, 0.08, 20, 0.3
+	t.Logf("%d jobs, %d failed, %d failed runs; completed on time %s; with these workers draining %s", failing.jobs, failing.failed, failing.failedRuns, failing, without)
 	for kind, served := range failing.served {
 		least := without.served[kind] - kindCost
 		if kind == "" {
 			least = without.served[kind] - cost
 		}
 		if served < least {
-			t.Errorf("%.3f of the work of kind %q is on time, want %.3f", served, kind, least)
+			t.Errorf("%.3f of the work of kind %q completed on time, want at least %.3f", served, kind, least)
 		}
 	}
 	mayFail := failing.jobs * 3 / 100
-	if share < mostEjected {
+	if share < maxEjectedShare {
 		mayFail = failing.jobs / 100
-		if workers := share * faultAgents; float64(failing.failedRuns) > runsEach*workers {
-			t.Errorf("%d runs fail on %.0f workers, want %d for each at most", failing.failedRuns, workers, runsEach)
+		if workers := share * faultAgents; float64(failing.failedRuns) > maxRunsEach*workers {
+			t.Errorf("%d runs failed on %.0f workers, want at most %d per worker", failing.failedRuns, workers, maxRunsEach)
 		}
 	}
 	if failing.failed > mayFail {
-		t.Errorf("%d of %d jobs fail, want %d at most", failing.failed, failing.jobs, mayFail)
+		t.Errorf("%d of %d jobs failed, want at most %d", failing.failed, failing.jobs, mayFail)
 	}
 }
 
-// ejectedWorkers returns how many workers are ejectedWorkers now.
+// ejectedWorkers returns the number of workers that are currently ejected.
 func (s *site) ejectedWorkers() int {
 	count := 0
 	for _, a := range s.agents {
@@ -163,18 +166,20 @@
 	return count
 }
 
-// failingKind is a kind of which a share of the runs fails on whatever worker, and the others take some times as long as before.
+// failingKind is a kind of which a share of the runs fails on any worker; the runs of the kind take slowdown times as
+// long as their callers estimate.
 type failingKind struct{ load, share, slowdown float64 }
 
-// kindOutcome is what happened on a site with a failing kind.
+// kindOutcome summarises a simulation with a failing kind.
 type kindOutcome struct {
-	// maxEjected is how many workers were ejected at a time, maxAfter1s and maxAfter4s how many from one and from four seconds on.
+	// maxEjected is the maximum number of workers ejected at the same time; maxAfter1s and maxAfter4s are this
+	// maximum from one and from four seconds after the change on.
 	maxEjected, maxAfter1s, maxAfter4s int
-	// served are the parts of the work that were on time, by kind, and that of all kinds under the empty name.
+	// served holds the share of the work completed on time by kind, and of all kinds under the empty name.
 	served map[string]float64
 }
 
-// simulate lets the reminders of a site be the failing kind from one moment on.
+// simulate makes the kind "reminder" fail or slow down from faultFrom on.
 func (f failingKind) simulate(withoutEjection bool) kindOutcome {
 	option := func(s *site) { s.limits.NoEjection = s.limits.NoEjection || withoutEjection }
 	s := newBurstSiteWith(*ejectionSeed, faultEntries, faultAgents, f.load, option)
@@ -191,7 +196,7 @@
 			o.maxAfter4s = max(o.maxAfter4s, ejected)
 		}
 	})
-	// Probes need jobs: these come until well after the last check.
+	// Probes need jobs, so jobs arrive until well after the last check.
 	s.simulate(faultTo + 2*time.Second)
 	for _, kind := range []string{"", "lookup", "reminder", "confirmation"} {
 		o.served[kind], _ = s.served(during(faultFrom, faultTo, kind, ""))
@@ -199,11 +204,12 @@
 	return o
 }
 
-// TestAKindThatFailsEverywhereEjectsNobody plays the pattern of a bad configuration of one kind: all its runs fail, or a third, on whatever worker,
-// from one moment on.
+// TestAKindThatFailsEverywhereEjectsNobody covers a faulty configuration of one kind: from one moment on, all its
+// runs or a third of them fail on any worker.
 //
-// Grounds for its figures: what runs at that moment is judged before anybody can know that others fail too. The share of ejected workers stays
-// below that from which ejections are ignored, and it is nearly nil soon after. All kinds are served as without ejection.
+// Runs in progress at that moment are judged before any agent can know that the kind fails on other workers, too. The
+// share of ejected workers stays below the share from which ejections are ignored, and is close to zero soon after.
+// All kinds are served as well as without ejection.
 func TestAKindThatFailsEverywhereEjectsNobody(t *testing.T) {
 	for _, share := range []float64{1, 0.3} {
 		t.Run(fmt.Sprintf("%.1f", share), func(t *testing.T) {
@@ -212,48 +218,47 @@
 			got, want := f.simulate(false), f.simulate(true)
 			t.Logf("%+v; without ejection %+v", got, want)
 			if got.maxEjected > faultAgents*3/10 || got.maxAfter1s > faultAgents/20 {
-				t.Errorf("%d of the workers were ejected at a time, and %d after the first second", got.maxEjected, got.maxAfter1s)
+				t.Errorf("%d workers were ejected at the same time, and %d after the first second", got.maxEjected, got.maxAfter1s)
 			}
 			for kind, served := range got.served {
 				if least := want.served[kind] - 0.02; served < least {
-					t.Errorf("%.3f of the work of kind %s is on time, want %.3f", served, kind, least)
+					t.Errorf("%.3f of the work of kind %q completed on time, want at least %.3f", served, kind, least)
 				}
 			}
 		})
 	}
 }
 
-// TestAKindThatTakesLongerEjectsFew plays the pattern of a kind whose tasks take four times as long as before, from one moment on, at a load that
-// bears that.
+// TestAKindThatTakesLongerEjectsFew covers a kind whose tasks take four times as long from one moment on, at a load
+// that leaves enough capacity for that.
 //
-// Grounds for its figures: until entries have seen such tasks end, each worker alone looks faulty. No more are ejected than may be, and none once the
-// estimates of all entries have followed. For a second or two up to three in ten workers are missing, so a twentieth of the work may be
-// lost.
+// Until entries have seen such tasks complete, each worker looks faulty to its agent. No more workers are ejected
+// than the limit allows, and none once the estimates of all entries have adapted. For a second or two up to three in
+// ten workers are missing, so up to a twentieth of the work may be lost.
 func TestAKindThatTakesLongerEjectsFew(t *testing.T) {
 	t.Parallel()
 	f := failingKind{load: baseLoad / 2, slowdown: 4}
 	got, want := f.simulate(false), f.simulate(true)
 	t.Logf("%+v; without ejection %+v", got, want)
 	if got.maxEjected > faultAgents/3 || got.maxAfter4s > 0 {
-		t.Errorf("%d of the workers were ejected at a time, and %d after four seconds", got.maxEjected, got.maxAfter4s)
+		t.Errorf("%d workers were ejected at the same time, and %d after four seconds", got.maxEjected, got.maxAfter4s)
 	}
 	if served, least := got.served[""], want.served[""]-0.05; served < least {
-		t.Errorf("%.3f of the work is on time, want %.3f", served, least)
+		t.Errorf("%.3f of the work completed on time, want at least %.3f", served, least)
 	}
 }
 
-// TestAWorkerIsBackInServiceWithinASecond plays the pattern of workers that are well again, some after they failed a second time while they were
-// probed, among entries that restart or lose their sessions meanwhile.
-//
-// Grounds for its figure: callers are refused for want of the room that an ejected worker has.
+// TestAWorkerIsBackInServiceWithinASecond covers workers that recover, some after they failed again while they were
+// being probed, and sessions that are lost in the meantime. The time is bounded because callers are refused for lack
+// of the capacity of ejected workers.
 func TestAWorkerIsBackInServiceWithinASecond(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// disturb happens while the workers are probed for the last time.
+		// disturb runs while the workers are being probed for the last time.
 		disturb func(s *burstSite, faulty []*agent)
 	}{
-		{"nothing else", func(*burstSite, []*agent) {}},
-		{"sessions end while a probe is out", func(s *burstSite, faulty []*agent) {
+		{"no disturbance", func(*burstSite, []*agent) {}},
+		{"sessions close during a probe", func(s *burstSite, faulty []*agent) {
 			for _, a := range faulty {
 				for id, e := range a.entries {
 					if e.isOpen(a.id, id) && s.random.IntN(2) == 0 {
@@ -281,16 +286,15 @@
 			})
 			s.simulate(8 * time.Second)
 			if took := last - 6*time.Second; took > time.Second || took < 0 {
-				t.Errorf("the last worker was back in service %s after it was well, want a second at most", took)
+				t.Errorf("the last worker was back in service %s after its fault ended, want at most 1s", took)
 			}
 		})
 	}
 }
 
-// TestARestartedAgentEjectsItsWorkerAgain plays the pattern of an agent that restarts beside a worker that fails: the new process takes it for one
-// in service.
-//
-// Grounds for its figure: three failed jobs eject a worker, and some more run beside them.
+// TestARestartedAgentEjectsItsWorkerAgain covers an agent that restarts next to a faulty worker. The new process
+// assumes that the worker is in service. Three failed jobs eject a worker, and a few more run on it concurrently,
+// which gives the bound.
 func TestARestartedAgentEjectsItsWorkerAgain(t *testing.T) {
 	t.Parallel()
 	s := newBurstSite(*ejectionSeed, faultEntries, faultAgents, baseLoad)
@@ -306,18 +310,19 @@
 	s.after(4500*time.Millisecond, func() { isEjected = faulty.isEjected })
 	s.simulate(5 * time.Second)
 	if !isEjected {
-		t.Error("the worker is not ejected after the restart of its agent")
+		t.Error("the worker was not ejected again after the restart of its agent")
 	}
 	if more := s.failedRuns - before; more > 30 {
-		t.Errorf("%d runs fail after the restart, want 30 at most", more)
+		t.Errorf("%d runs failed after the restart, want at most 30", more)
 	}
 }
 
-// TestFlappingWorkersGetFewTasks plays the pattern of workers that crash again soon after they have come back, in a burst: each time they are up
-// they are empty and draw what waits.
+// TestFlappingWorkersGetFewTasks covers workers that crash again soon after each restart, in a burst. After each
+// restart they are idle and attract waiting tasks.
 //
-// Grounds for its figures: the first two crashes say nothing yet. After that a worker gets a probe after the back-off and one more with each that is
-// done, so a few run when it crashes again, where ten run without ejection.
+// The first two crashes are not enough evidence for an ejection. After them a worker gets one probe after the
+// back-off, and one more task with each that completes, so only a few run when it crashes again. Without ejection it
+// is ten.
 func TestFlappingWorkersGetFewTasks(t *testing.T) {
 	t.Parallel()
 	const downTime, upTime, flapping = 700 * time.Millisecond, 300 * time.Millisecond, 4
@@ -336,19 +341,18 @@
 	}
 	s.simulate(faultTo)
 	if mean := float64(lost) / float64(crashes); mean > 4 {
-		t.Errorf("%.1f runs are lost with each crash from the third on, want 4 at most", mean)
+		t.Errorf("%.1f runs lost per crash from the third crash on, want at most 4", mean)
 	}
 }
 
-// TestAServiceOfOneWorkerIsServedAgain plays the pattern of a service with one worker, which fails for a moment. Its jobs have no other attempt, so
-// none may be a probe.
-//
-// Grounds for its figure: there is no other worker for which jobs could wait, so they are served as without ejection once runs end well.
+// TestAServiceOfOneWorkerIsServedAgain covers a service with one worker, which fails for a short time. Its jobs have
+// a single attempt, so none may be a probe. There is no other worker for which jobs could wait, so once runs succeed
+// again jobs must be served as well as without ejection.
 func TestAServiceOfOneWorkerIsServedAgain(t *testing.T) {
 	t.Parallel()
 	const entries, agents, cost = 3, 1, 0.05
 	const wellAgain, from, to = 3300 * time.Millisecond, 3500 * time.Millisecond, 5500 * time.Millisecond
-	play := func(withoutEjection bool) (served float64, jobs int) {
+	simulate := func(withoutEjection bool) (served float64, jobs int) {
 		option := func(s *site) { s.limits.NoEjection = s.limits.NoEjection || withoutEjection }
 		s := newBurstSiteWith(*ejectionSeed, entries, agents, baseLoad, option)
 		s.attempts = 1
@@ -356,10 +360,10 @@
 		s.simulate(to)
 		return s.served(during(from, to, "", ""))
 	}
-	got, jobs := play(false)
-	want, _ := play(true)
-	t.Logf("%.3f of the work of %d jobs is on time; without ejection %.3f", got, jobs, want)
+	got, jobs := simulate(false)
+	want, _ := simulate(true)
+	t.Logf("%.3f of the work of %d jobs completed on time; without ejection %.3f", got, jobs, want)
 	if got < want-cost {
-		t.Errorf("%.3f of the work is on time, want %.3f", got, want-cost)
+		t.Errorf("%.3f of the work completed on time, want at least %.3f", got, want-cost)
 	}
 }
--- a/internal/overload/rack_test.go
+++ b/internal/overload/rack_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// TestManyLookupsWantOneRack plays the pattern of a hot rack: of 48 workers eight have the data of most of the lookups. On other workers these take
-// three times as long, and are late. The rack has room for all of them, if the other jobs, half of what it does otherwise, leave it to them; they
-// come unasked and end within a second. No other kind may lose by it.
+// TestManyLookupsWantOneRack covers a hot rack: eight of 48 workers hold the data of most lookups. On other workers
+// these lookups take three times as long, and are late. The rack has capacity for all of them if other jobs, which
+// are half of its usual load, leave it to them. These are placed there regardless of the rack, and end within a
+// second. No other kind may be served worse.
 func TestManyLookupsWantOneRack(t *testing.T) {
 	for _, test := range []struct{ share, least float64 }{{0.3, 0.97}, {0.9, 0.8}} {
 		t.Run(fmt.Sprintf("share %.1f", test.share), func(t *testing.T) {
@@ -25,7 +26,7 @@
 					least = test.least
 				}
 				if share, jobs := s.served(during(2*time.Second, 6*time.Second, k.Name, "")); share < least {
-					t.Errorf("%s: %.3f of the work of %d jobs on time, want %.2f", k.Name, share, jobs, least)
+					t.Errorf("%s: %.3f of the work of %d jobs completed on time, want at least %.2f", k.Name, share, jobs, least)
 				}
 			}
 		})
--- a/internal/overload/speed_test.go
+++ b/internal/overload/speed_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// slowFactor and fastFactor are the time factors of a third of the workers and of the others.
+// slowFactor and fastFactor are the run time factors of a third of the workers and of the others.
 const slowFactor, fastFactor = 1.7, 0.7
 
-// TestLongJobsRunOnFastWorkers plays the pattern of a site whose workers differ in speed: every third takes 1.7 times the usual time, the
-// others 0.7. Jobs whose tasks take 0.9 s are late on a slow worker, those of 60 and 200 ms are not, so all of them can be in time as long as
-// there is room.
+// TestLongJobsRunOnFastWorkers covers workers that differ in speed: on every third one tasks take 1.7 times the usual
+// time, on the others 0.7. Jobs whose tasks take 0.9 s are late on a slow worker, those of 60 and 200 ms are not, so
+// all jobs can be on time as long as there is free capacity.
 func TestLongJobsRunOnFastWorkers(t *testing.T) {
 	for _, test := range []struct{ load, least float64 }{{0.3, 0.98}, {0.6, 0.95}} {
 		t.Run(fmt.Sprintf("load %.1f", test.load), func(t *testing.T) {
@@ -24,14 +24,14 @@
 			for name, counts := range simulateSpeeds(test.load) {
 				t.Logf("%s: %d jobs, %d on time, %d late, %d not run", name, counts.submitted, counts.onTime, counts.late, counts.notRun)
 				if share := counts.onTimeShare(); share < test.least {
-					t.Errorf("%s: %.3f on time, want %.2f", name, share, test.least)
+					t.Errorf("%s: %.3f on time, want at least %.2f", name, share, test.least)
 				}
 			}
 		})
 	}
 }
 
-// simulateSpeeds returns the counts by kind of the jobs that come after the speeds were learned.
+// simulateSpeeds returns the results by kind of the jobs that arrive once the entries have learned the speeds.
 func simulateSpeeds(load float64) map[string]*counts {
 	const learning, length = 6 * time.Second, 10 * time.Second
 	s := newSite(1, 8, 48, 48)
@@ -50,7 +50,7 @@
 	return after.kinds
 }
 
-// agentsInOrder returns the agents in the order of their names.
+// agentsInOrder returns the agents ordered by name.
 func (s *site) agentsInOrder() []*agent {
 	var agents []*agent
 	for _, a := range s.agents {
