--- a/internal/overload/fault_test.go
+++ b/internal/overload/fault_test.go
@@ -10,50 +10,50 @@
 	"sailhead/internal/worker"
 )
 
-// faultKind is what happens to the runs that a fault concerns.
+// faultKind is the effect of a fault on the runs concerned.
 type faultKind int
 
 const (
 	faultNone faultKind = iota
-	// faultFails fails them after the part fault.after of their time.
+	// faultFails makes the run fail after the fraction fault.after of its run time.
 	faultFails
-	// faultHangs lets them run until they are stopped.
+	// faultHangs makes the run continue until it is stopped.
 	faultHangs
-	// faultResets closes the connection of the start, which begins no run.
+	// faultResets closes the connection of the start request; no run is started.
 	faultResets
-	// faultSlows makes them take fault.factor times as long.
+	// faultSlows makes the run take fault.factor times as long.
 	faultSlows
-	// faultDrains takes the worker out of service: it says that it drains.
+	// faultDrains takes the worker out of service: it reports that it is draining.
 	faultDrains
 )
 
-// fault is what is wrong with a worker.
+// fault is a fault injected into a worker.
 type fault struct {
 	kind faultKind
-	// share is the part of the runs, 0 to 1, that go wrong.
+	// share is the share of the runs, 0 to 1, that are affected.
 	share float64
-	// after is the part of its time, 0 to 1, after which a run fails.
+	// after is the fraction of the run time, 0 to 1, after which a run fails.
 	after float64
-	// factor is by how many times a slow run takes longer.
+	// factor is the slowdown of a slow run.
 	factor float64
 }
 
-// hangTime is how long a run takes that hangs: longer than any test.
-const hangTime = time.Hour
+// hungRunTime is the run time of a hung run: longer than any test.
+const hungRunTime = time.Hour
 
-// failTime is how long a run takes at least that fails.
-const failTime = time.Millisecond
+// minFailTime is the minimum run time of a run that fails.
+const minFailTime = time.Millisecond
 
-// apply returns how long a run takes and how it ends, or that its start is lost.
+// apply returns the run time and the ending of a run, or isLost if its start request is lost.
 func (f fault) apply(random *rand.Rand, length time.Duration) (took time.Duration, ending worker.Ending, isLost bool) {
 	if f.kind == faultNone || f.kind == faultDrains || random.Float64() >= f.share {
 		return length, worker.EndingDone, false
 	}
 	switch f.kind {
 	case faultFails:
-		return max(time.Duration(f.after*float64(length)), failTime), worker.EndingFailed, false
+		return max(time.Duration(f.after*float64(length)), minFailTime), worker.EndingFailed, false
 	case faultHangs:
-		return hangTime, worker.EndingDone, false
+		return hungRunTime, worker.EndingDone, false
 	case faultSlows:
 		return time.Duration(f.factor * float64(length)), worker.EndingDone, false
 	default:
@@ -61,10 +61,10 @@
 	}
 }
 
-// setFault gives the worker a fault, or takes it away.
+// setFault replaces the fault of the worker; the zero value removes it.
 func (w *fakeWorker) setFault(f fault) {
 	if isDraining := f.kind == faultDrains; isDraining != (w.fault.kind == faultDrains) {
-		w.beat(isDraining)
+		w.sendHeartbeat(isDraining)
 	}
 	w.fault = f
 }
--- a/internal/overload/worker_test.go
+++ b/internal/overload/worker_test.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	// workerDelay is the time of a message between an agent and its worker, unless agent.delay says otherwise.
+	// workerDelay is the latency of a message between an agent and its worker, unless agent.delay overrides it.
 	workerDelay = 200 * time.Microsecond
-	// callTimeout bounds a start or a stop, renewTimeout a renewal beyond the time that it may wait, as in the client of the worker.
+	// callTimeout limits a start or a stop. renewTimeout limits a renewal in addition to the time of its long poll,
+	// as in the client of the worker.
 	callTimeout  = 25 * time.Millisecond
 	renewTimeout = 50 * time.Millisecond
 )
@@ -35,76 +36,77 @@
 }
 
 const (
-	// crashPayload comes before the run time in the payload of a job whose first task crashes its worker, crashAfter after its
-	// start, unless site.crashAfter says otherwise.
+	// crashPayload is the prefix of the run time in the payload of a job whose first task crashes its worker. The
+	// crash happens crashAfter after the start of the task, unless site.crashAfter overrides it.
 	crashPayload = "crash "
 	crashAfter   = 10 * time.Millisecond
-	// restartAfter is how long after a crash the next incarnation of the worker begins, unless site.restartAfter says otherwise.
+	// restartAfter is the time from a crash to the next incarnation of the worker, unless site.restartAfter overrides
+	// it.
 	restartAfter = 2 * time.Second
 )
 
-// fakeWorker is a worker that carries out every call. The payload of a task is its run time, with or without crashPayload.
+// fakeWorker is a simulated worker that carries out every call. The payload of a task is its run time, with or
+// without crashPayload.
 type fakeWorker struct {
 	site  *site
 	agent *agent
-	// id is the current incarnation, incarnations how many there were, and isDown is set between two of them.
+	// id is the current incarnation, incarnations the number of them so far, and isDown is set between two of them.
 	id           string
 	incarnations int
 	isDown       bool
-	// timeFactor is by how many times runs take longer than their payload says, zero for 1.
+	// timeFactor is the factor of all run times, zero for 1.
 	timeFactor float64
-	// fault is what is wrong with it at present, the zero value nothing.
+	// fault is the current fault; the zero value is none.
 	fault   fault
 	running map[string]fakeRun
 	ends    []worker.End
-	number  uint64
-	// beats counts the heartbeats.
-	beats uint64
-	// poll answers the long poll that waits for an end, nil if there is none.
-	poll func(worker.RenewResult)
+	lastEnd uint64
+	// heartbeats counts the heartbeats sent.
+	heartbeats uint64
+	// longPoll answers the pending long poll, nil if there is none.
+	longPoll func(worker.RenewResult)
 }
 
 func newFakeWorker(a *agent) *fakeWorker {
 	w := &fakeWorker{site: a.site, agent: a}
-	w.begin()
+	w.startIncarnation()
 	return w
 }
 
-// begin begins an incarnation, and lets it report to the agent.
-func (w *fakeWorker) begin() {
+// startIncarnation starts a new incarnation, which reports to the agent.
+func (w *fakeWorker) startIncarnation() {
 	w.incarnations++
 	w.id = fmt.Sprintf("%s-%d", w.agent.id, w.incarnations)
-	w.running, w.ends, w.number, w.isDown = make(map[string]fakeRun), nil, 0, false
-	w.site.after(0, func() { w.beat(false) })
+	w.running, w.ends, w.lastEnd, w.isDown = make(map[string]fakeRun), nil, 0, false
+	w.site.after(0, func() { w.sendHeartbeat(false) })
 }
 
-// beat sends a heartbeat to the agent.
-func (w *fakeWorker) beat(isDraining bool) {
-	w.beats++
+func (w *fakeWorker) sendHeartbeat(isDraining bool) {
+	w.heartbeats++
 	capacity := worker.Resources{CPU: w.agent.cpu, Memory: 128 << 10}
-	record := worker.Record{ID: w.id, Service: service, Capacity: capacity, Labels: []string{w.agent.rack}, Draining: isDraining, Sequence: w.beats, Clock: w.reply().Clock}
+	record := worker.Record{ID: w.id, Service: service, Capacity: capacity, Labels: []string{w.agent.rack}, Draining: isDraining, Sequence: w.heartbeats, Clock: w.reply().Clock}
 	w.agent.handle(runner.HeartbeatReceived{Record: record})
 }
 
-// crash ends the incarnation with all its runs. The next one begins after site.restartAfter.
+// crash ends the incarnation with all its runs. The next one starts after site.restartAfter.
 func (w *fakeWorker) crash() {
 	if w.isDown {
 		return
 	}
 	w.isDown = true
-	w.site.crashed(w.running)
-	w.closePoll()
-	w.site.after(w.site.restartAfter, w.begin)
+	w.site.recordCrash(w.running)
+	w.closeLongPoll()
+	w.site.after(w.site.restartAfter, w.startIncarnation)
 }
 
-// closePoll closes the connection of the long poll that waits.
-func (w *fakeWorker) closePoll() {
-	if w.poll != nil {
-		w.poll(worker.Unanswered{Reason: "the connection was closed", IsClosed: true})
+// closeLongPoll closes the connection of the pending long poll.
+func (w *fakeWorker) closeLongPoll() {
+	if w.longPoll != nil {
+		w.longPoll(worker.Unanswered{Reason: "connection closed", IsClosed: true})
 	}
 }
 
-// reject returns why a call to an incarnation is not carried out, or nil.
+// reject returns why a call to an incarnation is not carried out, or nil if it is.
 func (w *fakeWorker) reject(incarnation string) worker.Failure {
 	switch {
 	case w.isDown:
@@ -133,29 +135,29 @@
 		length = own
 	}
 	if rack, ok := w.site.racks[request.Name]; ok && rack != w.agent.rack {
-		length = time.Duration(w.site.farTimes * float64(length))
+		length = time.Duration(w.site.crossRackFactor * float64(length))
 	}
 	if w.timeFactor > 0 {
 		length = time.Duration(w.timeFactor * float64(length))
 	}
 	length, ending, isLost := w.fault.apply(w.site.faults, length)
 	if w.site.faults.Float64() < w.site.failing[request.Name] {
-		length, ending = failTime, worker.EndingFailed
+		length, ending = minFailTime, worker.EndingFailed
 	}
 	if isLost {
-		return worker.Unanswered{Reason: "the connection was closed", IsClosed: true}
+		return worker.Unanswered{Reason: "connection closed", IsClosed: true}
 	}
 	if crashes && strings.HasSuffix(request.Name, ".0.0.0") {
-		w.site.after(w.site.crashAfter, func() { w.crashUnder(incarnation, request.Name, request.Run) })
+		w.site.after(w.site.crashAfter, func() { w.crashIfRunning(incarnation, request.Name, request.Run) })
 	}
 	w.running[request.Name] = fakeRun{run: request.Run, began: w.site.now, length: length}
 	w.site.after(length, func() { w.end(incarnation, request.Name, request.Run, ending) })
-	w.site.started(w, request.Name)
+	w.site.recordStart(w, request.Name)
 	return worker.Accepted{Reply: w.reply()}
 }
 
-// crashUnder crashes the worker if the run of a task has not ended.
-func (w *fakeWorker) crashUnder(incarnation, name string, run uint32) {
+// crashIfRunning crashes the worker unless the run has ended.
+func (w *fakeWorker) crashIfRunning(incarnation, name string, run uint32) {
 	if w.id == incarnation && w.running[name].run == run {
 		w.crash()
 	}
@@ -169,23 +171,23 @@
 	return worker.Accepted{Reply: w.reply()}
 }
 
-// end ends a run, unless it has ended before, and answers the long poll.
+// end ends a run, unless it has already ended, and answers the pending long poll.
 func (w *fakeWorker) end(incarnation, name string, run uint32, ending worker.Ending) {
 	if w.id != incarnation || w.isDown || w.running[name].run != run {
 		return
 	}
 	delete(w.running, name)
-	w.number++
+	w.lastEnd++
 	if ending == worker.EndingFailed {
 		w.site.failedRuns++
 	}
-	w.ends = append(w.ends, worker.End{Number: w.number, Name: name, Run: run, Ending: ending})
-	if w.poll != nil {
-		w.poll(w.list())
+	w.ends = append(w.ends, worker.End{Number: w.lastEnd, Name: name, Run: run, Ending: ending})
+	if w.longPoll != nil {
+		w.longPoll(w.list())
 	}
 }
 
-// renew calls answer with the listing: at once, or for a long poll once a run has ended or the wait is over.
+// renew calls answer with the listing: at once, or for a long poll when a run ends or the time of the poll is over.
 func (w *fakeWorker) renew(incarnation string, request worker.RenewRequest, answer func(worker.RenewResult)) {
 	if failure := w.reject(incarnation); failure != nil {
 		answer(failure)
@@ -199,14 +201,14 @@
 		return
 	}
 	isAnswered := false
-	w.poll = func(result worker.RenewResult) {
+	w.longPoll = func(result worker.RenewResult) {
 		if !isAnswered {
 			isAnswered = true
-			w.poll = nil
+			w.longPoll = nil
 			answer(result)
 		}
 	}
-	poll := w.poll
+	poll := w.longPoll
 	w.site.after(request.Wait, func() { poll(w.list()) })
 }
 
@@ -219,7 +221,7 @@
 	return listing
 }
 
-// call sends a call of an agent to its worker and hands the agent the answer, or none if that takes too long.
+// call sends a call of an agent to its worker and passes the result to the agent.
 func (a *agent) call(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.CallStart:
@@ -227,12 +229,12 @@
 		answer := func(result worker.StartResult) runner.Event {
 			return runner.StartAnswered{Incarnation: e.Incarnation, Name: e.Start.Name, Run: e.Start.Run, Sent: sent, Ended: a.site.now, Result: result}
 		}
-		exchange(a, callTimeout, answer, func(back func(worker.StartResult)) { back(a.worker.start(e.Incarnation.ID, e.Start)) })
+		roundTrip(a, callTimeout, answer, func(back func(worker.StartResult)) { back(a.worker.start(e.Incarnation.ID, e.Start)) })
 	case runner.CallStop:
 		answer := func(result worker.StopResult) runner.Event {
 			return runner.StopAnswered{Incarnation: e.Incarnation, Name: e.Stop.Name, Run: e.Stop.Run, Result: result}
 		}
-		exchange(a, callTimeout, answer, func(back func(worker.StopResult)) { back(a.worker.stop(e.Incarnation.ID, e.Stop)) })
+		roundTrip(a, callTimeout, answer, func(back func(worker.StopResult)) { back(a.worker.stop(e.Incarnation.ID, e.Stop)) })
 	case runner.CallRenew:
 		sent := a.site.now
 		answer := func(result worker.RenewResult) runner.Event {
@@ -240,12 +242,13 @@
 				Incarnation: e.Incarnation, Sent: sent, Took: a.site.now.Sub(sent), Ended: a.site.now, Fence: e.Renew.Fence, LongPoll: e.Renew.Wait > 0, Result: result,
 			}
 		}
-		exchange(a, e.Renew.Wait+renewTimeout, answer, func(back func(worker.RenewResult)) { a.worker.renew(e.Incarnation.ID, e.Renew, back) })
+		roundTrip(a, e.Renew.Wait+renewTimeout, answer, func(back func(worker.RenewResult)) { a.worker.renew(e.Incarnation.ID, e.Renew, back) })
 	}
 }
 
-// exchange carries a call to the worker and the event made of its result back. The result is Unanswered after the timeout.
-func exchange[Result any](a *agent, timeout time.Duration, event func(Result) runner.Event, call func(back func(Result))) {
+// roundTrip carries a call to the worker, and the event made of its result back. The result is Unanswered after the
+// timeout.
+func roundTrip[Result any](a *agent, timeout time.Duration, event func(Result) runner.Event, call func(back func(Result))) {
 	isOver := false
 	end := func(result Result) {
 		if !isOver {
