--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -15,17 +15,21 @@
 // Inputs: the crashes that agents report, with the runs that were on the worker and which of them was started last; whether an
 // agent that reconnects describes another incarnation of its worker than before its session was lost.
 //
-// Rule: a task under which a worker has crashed is a suspect until a run of it is done. It is given up
+// Rule: a task under which a worker has crashed is a suspect until a run of it is done. A crash is certain if the run was certainly
+// running; otherwise the run may have ended before the crash, or not have begun. Counting only certain crashes, the task is given up
 //
-//   - after the second crash, if its run was the latest on that worker and its age was about the same as at an earlier crash,
+//   - after the second, if its run was the latest on that worker and had about the same age as at an earlier crash,
 //     unless workers crash for other causes (crashhistory.go);
-//   - after the third, if its age was about the same as at two earlier crashes;
+//   - after the third, if its run had about the same age as at two earlier crashes;
 //   - after the fourth in any case.
 //
-// Only crashes at which the run was running for certain count for these: it may have ended before the crash, or not have begun.
-// Of all crashes, the third also gives the task up if two of them are certain, the ages are about the same with an allowance for
-// the delay of a busy worker, and workers do not crash for many other causes; and the fifth gives it up in any case. A task that
-// was given up does not run again at this or any other entry: its job has failed, and fails again when it is resubmitted.
+// Counting all crashes, certain or not, it is also given up
+//
+//   - after the third, if two of the three are certain, its runs had about the same age at all three, with an allowance for the delay
+//     of a busy worker, and workers do not crash for many other causes;
+//   - after the fifth in any case.
+//
+// A task that was given up does not run again at this or any other entry: its job has failed, and fails again when it is resubmitted.
 //
 // Reason: a task may crash every worker that starts it. Each crash ends all other runs on the worker, which is then unavailable
 // for seconds. All tasks on the worker become suspects, and for some time agents start nothing beside a suspect
@@ -37,31 +41,33 @@
 // entry, or get another owner. Every entry learns of every crash, from its own agents or from another entry.
 
 const (
-	// maxIsolatedCrashes is the number of workers that may crash under runs of a task at about the same age, if the last of these
-	// runs was the latest on its worker and workers do not crash for other causes. By the users' rules a task may be given up
-	// after two. maxSimilarAgeCrashes is the number otherwise, as other runs may have begun on the worker after suspectTime of package
-	// runner.
-	maxIsolatedCrashes   = 2
+	// maxIsolatedCrashes is the number of certain crashes at about the same age after which a task is given up, if at the last of
+	// them its run was the latest on the worker and workers do not crash for other causes. By the users' rules a task may be given
+	// up after two.
+	maxIsolatedCrashes = 2
+	// maxSimilarAgeCrashes is the number of certain crashes at about the same age if the conditions of maxIsolatedCrashes do not
+	// hold: other runs may have been started beside the task once suspectTime of package runner had passed.
 	maxSimilarAgeCrashes = 3
-	// maxCrashes is the number of workers that may crash under a task in any case. After three the users' rules allow two more starts.
+	// maxCrashes is the number of certain crashes after which a task is given up in any case. After three the users' rules allow
+	// two more starts.
 	maxCrashes = 4
-	// maxLikelyCrashes is the number of workers that may crash under a task, whether or not its runs were running for certain, if
-	// they were at minLikelyCertain of the crashes and many other causes can be excluded.
+	// maxLikelyCrashes is the number of crashes at about the same age, certain or not, after which a task is given up if at least
+	// minLikelyCertain of them are certain and workers do not crash for many other causes.
 	maxLikelyCrashes = 3
 	minLikelyCertain = 2
-	// maxPossibleCrashes is the number of crashes including those at which the run may not have been running. The users' rules
+	// maxPossibleCrashes is the number of crashes, certain or not, after which a task is given up in any case. The users' rules
 	// allow five starts if each of them crashes a worker.
 	maxPossibleCrashes = 5
-	// ageTolerance and ageShare bound the difference between the ages of two runs at crashes with a common cause: an absolute
-	// tolerance, plus ageShare (0 to 1) of the lower age, plus the measuring error of busy agents.
+	// ageTolerance and ageShare bound the difference between the ages of two runs that count as about the same: ageTolerance, plus
+	// ageShare (0 to 1) of the lower age, plus the measuring error of busy agents.
 	ageTolerance = 5 * time.Millisecond
-	// busyAgeTolerance replaces ageTolerance for a third crash, as a busy worker crashes later than an idle one.
+	// busyAgeTolerance replaces ageTolerance for maxLikelyCrashes, as a busy worker crashes later than an idle one.
 	busyAgeTolerance = 50 * time.Millisecond
 	ageShare         = 0.1
 	// suspicionTime is how long a crash counts. The state of an ended job is kept as long (status_s, 120 on every site), and
 	// callers submit a job again within seconds.
 	suspicionTime = 2 * time.Minute
-	// maxSuspects bounds the number of suspects: all tasks on 100 workers, at some 200 bytes each 0.4 MB.
+	// maxSuspects bounds the number of suspects: all tasks on 100 workers, which take 0.4 MB at some 200 bytes each.
 	maxSuspects = 2048
 )
 
@@ -70,8 +76,8 @@
 	return d.suspects.isSuspect(t.name)
 }
 
-// workerCrashed records the crash of a worker for each run that was on it, and gives up the tasks that are due. It passes the
-// crash on to the other entries if it is new to this one.
+// workerCrashed records the crash of a worker for each run that was on it, and ends the jobs whose tasks must not run again.
+// It passes the crash on to the other entries if it is new to this one.
 func (d *Dispatcher) workerCrashed(now time.Time, agent AgentID, crash runner.Crash) {
 	isPropagated := false
 	d.crashHistory.add(now, agent, crash)
--- a/internal/dispatch/crashhistory.go
+++ b/internal/dispatch/crashhistory.go
@@ -18,19 +18,20 @@
 // a task; the number of registered agents.
 //
 // Rule: a crash is caused by a task if the crashes under the task have a common cause (haveCommonCause), or if the task was contained
-// and the crash alone is evidence (isEvidence). A crash is unexplained if it is not known to be caused by a task and within
-// settleTime no other worker has crashed under any of its tasks. Workers crash for other causes if any crash is unexplained, and
-// for many other causes if the number of unexplained crashes reaches the number of agents divided by agentsPerUnexplained, and at
-// least manyUnexplained. In both cases there must be at least unexplainedPerCaused unexplained crashes per caused one.
+// and the crash alone is evidence against its job (isEvidence). A crash is unexplained if it is older than settleTime, is not known
+// to be caused by a task, and no other worker has crashed under any of its tasks. Workers crash for other causes if any crash is
+// unexplained, and for many other causes if the number of unexplained crashes reaches the number of agents divided by
+// agentsPerUnexplained, and at least manyUnexplained. In both cases there must be at least unexplainedPerCaused unexplained crashes per caused one.
 //
-// Reason: if a fraction of all workers is killed every second, two of them are hit under the same task by chance with the square
-// of that fraction, and sometimes at about the same age of its runs. These two crashes look the same as those that a task causes,
-// but other crashes help to tell: a task that crashes its workers runs again at once and crashes the next one. Every entry learns
-// of all crashes, with the tasks of all entries. The rate at which workers are killed is known only after a while, so the first
-// unexplained crash already counts. Two crashes that may be a coincidence are not marked as caused: otherwise the next pair would
-// more easily be taken for a cause.
+// Reason: if a fraction of all workers is killed every second, the probability that two of them are killed under the same task is
+// the square of that fraction, and sometimes its runs have about the same age. Two such crashes look like those that a task causes.
+// The other crashes show the difference: a task that crashes its workers runs again at once and crashes the next one. Every entry
+// learns of all crashes, with the tasks of all entries. The rate at which workers are killed is known only after a while, so the
+// first unexplained crash already counts. Two crashes that may be a coincidence are not marked as caused: otherwise the next such
+// pair would be attributed to its task more easily.
 //
-// Cost: while workers are killed, a task that crashes its workers takes a third one down, unless there are several such tasks.
+// Cost: while workers are killed, a task that crashes its workers crashes a third one before it is given up, unless there are several
+// such tasks.
 
 const (
 	// historyTime is how long crashes are kept for this estimate.
@@ -38,13 +39,14 @@
 	// settleTime is the time after a crash within which another one must follow if a task caused it: a suspect runs again at once
 	// and crashes its next worker within a fraction of a second.
 	settleTime = time.Second
-	// agentsPerUnexplained is the number of agents per unexplained crash up to which these are many. With fewer crashes, less than
-	// one worker in a hundred is killed every second, and three of them under one task are very unlikely.
+	// agentsPerUnexplained is the number of agents per unexplained crash at or below which the crashes count as many. With fewer
+	// crashes, less than one worker in a hundred is killed every second, and three of them under one task are very unlikely.
 	agentsPerUnexplained = 10
-	// manyUnexplained is the minimum number of unexplained crashes that are many.
+	// manyUnexplained is the minimum number of unexplained crashes that count as many.
 	manyUnexplained = 5
-	// unexplainedPerCaused is the minimum number of unexplained crashes per crash caused by a task. If many tasks crash workers, a
-	// third crash of each delays more jobs than would be given up by mistake.
+	// unexplainedPerCaused is the minimum number of unexplained crashes per crash caused by a task for workers to count as crashing
+	// for other causes. If many tasks crash workers, waiting for a third crash of each delays more jobs than would be given up by
+	// mistake.
 	unexplainedPerCaused = 10
 	// maxHistory bounds the number of crashes in the history.
 	maxHistory = 256
--- a/internal/dispatch/crashhistory_test.go
+++ b/internal/dispatch/crashhistory_test.go
@@ -36,7 +36,7 @@
 }
 
 // Two crashes under a task may be a coincidence while workers are killed, so its job must be given up only after a third one. Killed
-// workers show as crashes under tasks that crash no other worker.
+// workers are recognised by crashes under tasks that crash no other worker.
 func TestThirdCrashIsRequiredWhileWorkersAreKilled(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -74,8 +74,8 @@
 	}
 }
 
-// Two killed workers that happened to run the same task must not count as caused by it: otherwise the job of the next task would be
-// given up after two coincident crashes.
+// The crashes of two killed workers that happened to run the same task must not be marked as caused by the task: otherwise the job of
+// the next such task would be given up after two coincident crashes.
 func TestCoincidentCrashesAreNotMarkedAsCaused(t *testing.T) {
 	d, now := newDispatcherWithAgents("a")
 	killWorkers(d, now, 3)
@@ -86,7 +86,7 @@
 	}
 }
 
-// A third crash gives a job up if the ages of the runs are similar with an allowance for crashes noticed late, and if at most one of
+// A job is given up after a third crash if its runs had similar ages, with an allowance for crashes noticed late, and at most one of
 // the runs may have ended before its crash.
 func TestThirdCrashAtASimilarAge(t *testing.T) {
 	for _, test := range []struct {
