--- a/internal/dispatch/containment.go
+++ b/internal/dispatch/containment.go
@@ -12,7 +12,8 @@
 	"sailhead/internal/runner"
 )
 
-// This file decides how a kind is treated of which several jobs have crashed workers. The state of each kind is in kinds.go.
+// This file limits a kind of jobs to a subset of the agents if several of its jobs have crashed workers. The state of each kind is
+// in kinds.go.
 //
 // Inputs: the jobs that were given up because workers crashed under them (crash.go), by kind; the registered agents.
 //
@@ -20,16 +21,16 @@
 // evidenceTime reaches the number of agents divided by agentsPerEvidence, and at least minEvidence. Its jobs then run on a subset
 // of the agents, and no other jobs run there. The size of the subset corresponds to the kind's share of the submitted work; its
 // members are the first ones of a ranking by kind and agent. For some time after the start of a contained job nothing else is
-// started on its worker (runner/containment.go). A crash in that time is evidence against the job: unless it is durable, its
+// started on its worker (runner/containment.go). A crash in that time is evidence against the job: unless the job is durable, its
 // caller is told at once that it was interrupted, and it is not tried on a second worker. If none of the agents of the kind
-// accepts tasks, its jobs are refused at once. Containment ends after trialJobs of its jobs were done without another crash for
-// evidenceTime, or after trialTime without a crash.
+// accepts tasks, its jobs are refused at once. Containment ends once trialJobs jobs of the kind have been done since its last crash
+// and that crash is older than evidenceTime, or after trialTime without a crash.
 //
 // Reason: each job that crashes its workers makes two of them unavailable for seconds. If such jobs arrive faster than workers
 // recover, no kind is served. Containment limits the damage to the kind's share of the workers. Every entry learns of every crash
-// with the kinds of the runs, so all entries reach the same decision and choose nearly the same agents without coordination: a
-// smaller subset is contained in a larger one. An entry that has just started learns from crashes under contained jobs, which its
-// agents report, that other entries contain the kind. A rack that loses power is not evidence: it only makes its tasks suspects,
+// with the kinds of the runs, so all entries reach the same decision and choose nearly the same agents without coordination: the
+// smaller of two subsets is part of the larger one. An entry that has just started learns that other entries contain the kind from
+// the crashes under contained jobs that its agents report. A rack that loses power is not evidence: it only makes its tasks suspects,
 // and a job is given up only after a second crash in which it was the latest start. Many callers waiting for one job are not
 // evidence either, as jobs are counted and not requests.
 //
@@ -39,8 +40,8 @@
 const (
 	// minEvidence is the minimum number of jobs of a kind that must have been given up. A single one may be an exception.
 	minEvidence = 2
-	// agentsPerEvidence is the number of agents per job that must have been given up: with two crashes for each job, two fifths of
-	// the workers are unavailable by then.
+	// agentsPerEvidence is the number of agents for each job that must have been given up. With two crashes for each job, two fifths
+	// of the workers are unavailable when the kind is contained.
 	agentsPerEvidence = 5
 	// evidenceTime is how long a job that was given up counts as recent: about as long as a worker is unavailable after a crash.
 	evidenceTime = 3 * time.Second
@@ -49,10 +50,11 @@
 	// containing the kind again then takes as much evidence as before.
 	trialJobs = 10
 	// trialTime is the time without a crash after which containment ends in any case. It is three times as long as a worker is
-	// unavailable after a crash, as nothing is tried while all workers of the kind are unavailable.
+	// unavailable after a crash, because no job of the kind runs while all of its workers are unavailable.
 	trialTime = 10 * time.Second
 	// minContainedShare and maxContainedShare bound the share of the agents to which a contained kind is confined.
-	// maxContainedShare also bounds the total of all contained kinds: further kinds share the agents of the preceding one.
+	// maxContainedShare also bounds the total of all contained kinds: a kind that would exceed it shares the agents of the preceding
+	// one.
 	minContainedShare = 0.125
 	maxContainedShare = 0.5
 	// maxKindShare is the share of the work above which a kind is not contained: too little other work would be protected.
@@ -100,8 +102,9 @@
 	return !a.evacuated && (service == "" || a.record.Service == service)
 }
 
-// recordKindEvidence records the crash of a worker under a run as evidence against the kind of the run, if it is any. crashedAt is
-// earlier than now if the crash is reported again on a new session.
+// recordKindEvidence records the crash of a worker as evidence against the kind of a run that was on it, if the run's task must be
+// given up or the crash alone is evidence (isEvidence). crashedAt is earlier than now if the crash is reported again on a new
+// session.
 func (d *Dispatcher) recordKindEvidence(crashedAt time.Time, run runner.CrashedRun) {
 	if d.limits.NoContainment {
 		return
@@ -117,8 +120,8 @@
 	return run.WasRunning && run.IsIsolated
 }
 
-// interruptIfContained ends a non-durable job as interrupted if a single crash is evidence against it: confirmation would cost a
-// second worker. The job has not failed, and may be submitted again.
+// interruptIfContained ends a non-durable job as interrupted if a single crash is evidence against it, as confirming the evidence
+// would crash a second worker. The job has not failed, and may be submitted again.
 func (d *Dispatcher) interruptIfContained(now time.Time, j *job, run runner.CrashedRun) {
 	if _, isOpen := d.jobs[j.ID]; isOpen && !j.isDurable && isEvidence(run) {
 		d.finish(now, j, Interrupted{Reason: fmt.Sprintf("a worker crashed under task %s, and jobs of its kind crash workers", run.Task)})
@@ -154,7 +157,8 @@
 	}
 }
 
-// cancelForbiddenReservations cancels the reservations of jobs at agents that may no longer run them, and all those of contained jobs.
+// cancelForbiddenReservations cancels the reservations of jobs at agents that may no longer run them, and all reservations of
+// contained jobs.
 func (d *Dispatcher) cancelForbiddenReservations() {
 	for _, j := range d.waiting {
 		if d.isContained(j) {
--- a/internal/dispatch/kinds.go
+++ b/internal/dispatch/kinds.go
@@ -25,9 +25,9 @@
 
 // kindRecord is the state of one kind.
 type kindRecord struct {
-	// evidence holds, by job, the time of the crash after which the job was given up, or interrupted while the kind was contained.
+	// evidence holds, by job, the time of the crash after which the job was given up or, as a contained job, interrupted.
 	evidence map[string]time.Time
-	// isContainedElsewhere is set by a crash under an isolated job, which shows that other entries contain the kind.
+	// isContainedElsewhere is set by a crash under an isolated job. Only contained jobs are isolated, so other entries contain the kind.
 	isContainedElsewhere bool
 	// done counts the jobs that were done at this entry since the latest evidence.
 	done int
@@ -79,7 +79,8 @@
 	return ok && k.agents != nil
 }
 
-// add records that a job was given up or interrupted because a worker crashed under it. isIsolated is set if the job was isolated.
+// add records that a job was given up or interrupted because a worker crashed under it. isIsolated is set if the job ran isolated, as
+// contained jobs do.
 func (c *containment) add(crashedAt time.Time, kind, job string, isIsolated bool) {
 	if kind == "" {
 		return
@@ -132,7 +133,7 @@
 	}
 }
 
-// countSince returns the number of jobs that are evidence against the kind since the limit.
+// countSince returns the number of jobs with evidence from the limit or later.
 func (k *kindRecord) countSince(limit time.Time) int {
 	count := 0
 	for _, at := range k.evidence {
@@ -143,7 +144,7 @@
 	return count
 }
 
-// removeBefore removes the evidence from before the limit.
+// removeBefore removes the evidence that is older than the limit.
 func (c *containment) removeBefore(limit time.Time) {
 	for _, k := range c.kinds {
 		maps.DeleteFunc(k.evidence, func(_ string, at time.Time) bool { return at.Before(limit) })
@@ -192,7 +193,8 @@
 	}
 }
 
-// rank returns the registered agents in the order in which a kind is confined to them. The order is the same at every entry.
+// rank returns the registered agents in the order in which they are assigned to a contained kind. The order is the same at every
+// entry.
 func (c *containment) rank(kind string) []AgentID {
 	weight := func(id AgentID) uint64 { return xxhash.Sum64String(kind + "/" + string(id)) }
 	ranked := slices.Clone(c.registered)
