--- a/internal/dispatch/headroom.go
+++ b/internal/dispatch/headroom.go
@@ -11,28 +11,30 @@
 	"sailhead/internal/worker"
 )
 
-// This file applies the headroom that long tasks leave to shorter ones, as reported by the agents. Package runner decides on it
-// (headroom.go).
+// This file applies the headroom that long tasks leave free for shorter ones. The agents determine it (runner/headroom.go) and report
+// it with their load.
 
-// durationBound bounds the duration of the tasks for which a service may still have resources after none were found for one of its jobs:
-// only tasks with a shorter duration may find some.
+// durationBound is the duration below which a task may still find free resources after a job of the same service found too few.
+// Longer tasks need not be tried.
 type durationBound time.Duration
 
 const (
+	// fitsNone means that no task may find resources.
 	fitsNone durationBound = 0
-	fitsAny  durationBound = math.MaxInt64
+	// fitsAny means that tasks of any duration may find resources.
+	fitsAny durationBound = math.MaxInt64
 )
 
-// durationBounds holds, by service name, the smallest room left by the jobs of a placement so far.
+// durationBounds holds, by service name, the smallest bound that resulted from the jobs placed so far in one call of place.
 type durationBounds map[string]durationBound
 
-// isFull reports whether no task of a job is short enough for the room left.
+// isFull reports whether no task of a job is below the bound of its service.
 func (r durationBounds) isFull(j *job) bool {
 	left, ok := r[j.Kind.Service]
 	return ok && durationBound(j.shortestTask()) >= left
 }
 
-// add records the room that is left after a job.
+// add lowers the bound of a job's service to the one that resulted from placing the job.
 func (r durationBounds) add(j *job, left durationBound) {
 	if earlier, ok := r[j.Kind.Service]; ok {
 		left = min(left, earlier)
@@ -49,7 +51,7 @@
 	return shortest
 }
 
-// headroomAt returns the resources that tasks have to leave free at an agent for shorter ones.
+// headroomAt returns the resources that tasks have to leave free for shorter ones at an agent.
 func (d *Dispatcher) headroomAt(a *agent) []shares.HeadroomBound {
 	if d.limits.NoShares {
 		return nil
@@ -57,11 +59,11 @@
 	return a.load.Headroom
 }
 
-// mostlyFullShare is the share of agents without resources for the longest tasks above which isHeadroomKept may hold.
+// mostlyFullShare is the share of agents without resources for the longest tasks above which isHeadroomKept may be true.
 const mostlyFullShare = 0.9
 
-// isHeadroomKept reports whether nearly all agents lack resources for the longest tasks while some keep headroom for shorter ones. It
-// is false while the entry is congested (congestion.go), as each reservation costs messages.
+// isHeadroomKept reports whether nearly all agents lack resources for the longest tasks while at least one keeps headroom for shorter
+// ones. It is false while the entry is congested (congestion.go), as each reservation costs messages.
 func (d *Dispatcher) isHeadroomKept(agents []*agent, needs worker.Resources) bool {
 	full, keeping := 0, 0
 	for _, a := range agents {
--- a/internal/dispatch/headroom_test.go
+++ b/internal/dispatch/headroom_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// The estimate of a task away from its data includes the longer duration there. If it used the short one, the dispatcher would send a
-// start into the headroom for shorter tasks, and the agent would reject it.
+// A task takes longer in another rack than its data, and its estimate must include that. Otherwise the dispatcher would send a start
+// into the headroom for shorter tasks, and the agent would reject it.
 func TestTaskInAnotherRackLeavesHeadroomByItsLongerEstimate(t *testing.T) {
 	for _, test := range []struct {
 		rack     string
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -16,8 +16,8 @@
 // Inputs: the waiting jobs in the order of compareJobs, the free resources of the workers.
 //
 // Rule: each job gets as many of the free resources as it can use. If some of its tasks found none, it reserves resources.
-// So does every later job of the same service, regardless of what is free, except jobs that can still use resources that
-// the earlier ones could not (headroom.go, plan).
+// Every later job of the same service then reserves resources, too, even if some are free, unless it can use free resources
+// that the earlier jobs could not use (headroom.go, plan).
 //
 // Reason: a job that waited until all its tasks fit would be refused while workers have resources for some of them, and
 // would make later jobs wait in the meantime. Agents offer what becomes free to the first of the reservations of all
@@ -57,8 +57,8 @@
 	}
 }
 
-// placeJob places the tasks of a job that may run now, unless its service is full, and reserves resources for those that
-// found no worker. It returns the room that is left for later jobs of the service.
+// placeJob places the tasks of a job that may run now, unless isFull is set, and reserves resources for those that found no
+// worker. It returns the duration below which tasks of later jobs of the service may still find resources.
 func (d *Dispatcher) placeJob(now time.Time, j *job, isFull bool) durationBound {
 	tasks, roomLeft := d.placeable(now, j), fitsAny
 	if free := d.withoutOffer(j, tasks); !isFull && len(free) > 0 {
@@ -98,7 +98,7 @@
 	return tasks
 }
 
-// isEnding reports whether a run of the task that an earlier submission of its job started may not have ended.
+// isEnding reports whether a run of the task from an earlier submission of its job may not have ended yet.
 func (d *Dispatcher) isEnding(t *task) bool {
 	_, ok := d.endingRuns[t.name]
 	return ok
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -17,7 +17,7 @@
 // The rank of a worker for a task is the sum of the weights that apply. Each weight is larger than the sum of the smaller
 // ones, so the criteria are compared in this order.
 const (
-	// rankNotAvoided applies if no run of the task failed on the worker or was stopped there because it took too long.
+	// rankNotAvoided applies if no run of the task has failed on the worker or was stopped there because it took too long.
 	rankNotAvoided = 4
 	// rankHealthy applies if the worker is healthy; see health.go.
 	rankHealthy = 2
@@ -61,9 +61,10 @@
 	placements []placement
 	// isSuspect reports whether a worker has crashed under a task.
 	isSuspect func(*task) bool
-	// hasExcluded is set if an ejected worker had resources but was excluded because the task must not fail again.
+	// hasExcluded is set if an ejected worker had resources but was not used for tasks that must not fail again.
 	hasExcluded bool
-	// roomLeft is the room for tasks shorter than those that had to leave resources free, fitsNone if none had to.
+	// roomLeft is the shortest estimated duration for which headroom had to be left free, or fitsNone if there was no
+	// headroom. Shorter tasks may still find resources.
 	roomLeft durationBound
 }
 
@@ -72,15 +73,15 @@
 // Inputs: the needs (worker.Resources), labels and bounds of the steps; the free resources, labels and health of the
 // workers that accept tasks of the service.
 //
-// Rule: of the workers with the label of the step, those with the highest rank; of these the one that can run the most
-// of the remaining tasks of the step; of these the fastest nearly idle one (candidate.idleTimeFactor). Ties are broken at
-// random.
+// Rule: of the workers with the label of the step, those with the highest rank are preferred; of these, those that can run
+// the most of the remaining tasks of the step; of these, the fastest nearly idle one (candidate.idleTimeFactor). Ties are
+// broken at random.
 //
 // Reason: the failure of any of its workers delays a job, so it is placed on as few as possible. A fast worker answers it
 // sooner, but fast workers that are already in use are left to long jobs that would be late elsewhere. The random order
 // prevents all entries from choosing the same worker.
 //
-// roomLeft is the room for other jobs if this one does not find enough.
+// roomLeft is the duration below which tasks of later jobs may find resources if this job does not find enough.
 func (d *Dispatcher) plan(now time.Time, j *job, tasks []*task) (placements []placement, roomLeft durationBound) {
 	hasExcluded := d.collectCandidates(now, j)
 	p := planner{job: j, candidates: d.candidates, isSuspect: d.isSuspect}
@@ -186,8 +187,8 @@
 	return best, count
 }
 
-// minSpeedRatio is the least ratio of two time factors that counts as a difference in speed, as the factors are
-// averages.
+// minSpeedRatio is the minimum ratio of two time factors that counts as a difference in speed. Smaller differences are not
+// significant, as the factors are averages.
 const minSpeedRatio = 1.1
 
 // compareSpeed compares two candidates by the speed of their workers. It returns a positive number if c is preferred, and
