--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -14,28 +14,29 @@
 //
 // Inputs: the reason for which the job would be refused locally, if any; the windows of congestion.go.
 //
-// Rule: a job of which a run from an earlier submission may not have ended stays here and waits for that run. A job that would be
-// refused locally is handed over. So is a share of all other jobs, which rises with each window in which the entry is close to
-// congestion and falls with each other window. A job received from another entry is not handed over again. A job that the other
-// entry refuses is handed over to a further one, up to maxHandOvers in all, as long as it would be refused here. If no entry takes
-// it, it is accepted or refused here. The number of jobs handed over that no entry has taken yet is limited like the number of
-// waiting tasks in congestion.go.
+// Rule: a job of which a run from an earlier submission may not have ended yet stays here and waits for that run. A job that would be
+// refused locally is handed over, and so is a share of all other jobs. The share rises with each window in which the entry is
+// close to congestion and falls with each other window. A job received from another entry is not handed over again. A job that the
+// other entry refuses is handed over to a further one, to maxHandOvers entries in all, as long as it would be refused here. If no
+// entry takes it, it is accepted or refused here. The number of jobs handed over that no entry has taken yet is limited like the
+// number of waiting tasks in congestion.go.
 //
-// Reason: the load balancer sends callers to the entries of their availability zone, regardless of the capacity of these. A job
-// that another entry runs costs this one its payload once and an answer, instead of starts, reservations, offers and reports from
-// each of its workers. A link that is too slow even for that delays everything, so the hand-overs in transit are limited as well.
+// Reason: the load balancer sends callers to the entries of their availability zone, regardless of the capacity of these entries.
+// For a job that another entry runs, this one sends the payload once and receives an answer, instead of exchanging starts,
+// reservations, offers and reports with each of the job's workers. A link that is too slow even for that delays everything, so the
+// hand-overs in transit are limited as well.
 
 const (
-	// handOverThreshold is the minimum time from a start to the load report that counts it above which jobs are handed over. It is half
-	// of maxCountTime, so that the entry hands jobs over before it refuses any.
+	// handOverThreshold is the time from a start to the load report that counts it above which the share rises, if even the shortest
+	// such time in a window exceeds it. It is half of maxCountTime, so that the entry hands jobs over before it refuses any.
 	handOverThreshold = maxCountTime / 2
 	// shareRise and shareFall are the changes of the share per window. longShareFall replaces shareFall for a window of longWindow
-	// or more: at little traffic, most of which is handed over, there are few windows.
+	// or more: with little traffic, most of which is handed over, there are few windows.
 	shareRise     = 0.1
 	shareFall     = 0.02
 	longShareFall = 0.25
 	longWindow    = 500 * time.Millisecond
-	// maxHandOverShare keeps some jobs here, as their starts show whether the entry is still late.
+	// maxHandOverShare is the maximum share. Some jobs stay here, as their starts show whether the entry is still late.
 	maxHandOverShare = 0.95
 	// nearLimitShare is the share from which an entry counts as near its limit. A single window may be late by chance.
 	nearLimitShare = 0.5
@@ -44,7 +45,7 @@
 	maxHandOvers = 2
 )
 
-// reasonShuttingDown is the reason for refusing a job during a shutdown: it would not end in time, or another entry can run it instead.
+// reasonShuttingDown is the reason for refusing a job during a shutdown: the job would not end in time, or another entry can run it.
 const reasonShuttingDown = "the entry stops before the job would end"
 
 // reasonNearLimit is the reason for refusing a job of another entry; see nearLimitShare.
@@ -94,8 +95,8 @@
 func (HandOverNotSent) isHandOverResult()  {}
 func (HandOverLost) isHandOverResult()     {}
 
-// ownRefusalReason returns why the entry refuses a job locally, that is for a reason that does not hold for other entries, which
-// may serve the job at once. It returns "" if there is none.
+// ownRefusalReason returns why the entry refuses a job locally, or "" if it does not. Such a reason holds for this entry only: others
+// may serve the job at once.
 //
 // Inputs: the number of jobs in progress, including durable ones and those handed over, and Limits.Jobs; the time of the shutdown,
 // if any; the objective of the job; whether the entry keeps up.
@@ -104,7 +105,7 @@
 // its limit (congestion.go). A job of another entry is also refused while this entry hands over most of its own jobs, and during a
 // shutdown.
 //
-// Reason: two entries near their limits should not take on each other's jobs, while an entry with capacity serves those of one
+// Reason: two entries near their limits should not take each other's jobs, but an entry with capacity should take jobs of one
 // without. The job limit bounds memory and the duration of a placement. During a shutdown a job that is refused at once can be
 // submitted to another entry, while an interrupted one may have run.
 func (d *Dispatcher) ownRefusalReason(now time.Time, j *job) string {
@@ -146,8 +147,8 @@
 	return count
 }
 
-// findHandedOver returns the job of a hand-over that has not ended. Reports on an earlier hand-over of the same job have another
-// number and are not mistaken for those on the current one.
+// findHandedOver returns the job of a hand-over that has not ended. The number distinguishes the current hand-over of a job from
+// earlier ones, whose reports are ignored.
 func (d *Dispatcher) findHandedOver(id string, number uint64) (j *job, ok bool) {
 	j, ok = d.handedOver[id]
 	return j, ok && j.handOver == number
@@ -197,8 +198,8 @@
 	}
 }
 
-// reclaim accepts or refuses here a job that no other entry runs. If it would be refused, it is handed over to a further entry if
-// mayHandOverAgain is set.
+// reclaim accepts or refuses here a job that no other entry runs. If the job would be refused and mayHandOverAgain is set, it is
+// handed over to a further entry instead.
 func (d *Dispatcher) reclaim(now time.Time, j *job, mayHandOverAgain bool) {
 	if reason := d.evacuatedReason(j); reason != "" {
 		d.finish(now, j, d.evacuatedAnswer(j, reason))
@@ -218,7 +219,7 @@
 	d.emit(j.decisionMade(now, DecisionHandOverEnded{Answer: answer, Entry: j.acceptedBy}))
 }
 
-// returnForeignJobs ends the jobs of other entries of which no task can have begun.
+// returnForeignJobs ends the jobs of other entries of which no task can have begun, when the entry shuts down.
 //
 // Inputs: whether the entry is shutting down.
 //
--- a/internal/dispatch/handover_test.go
+++ b/internal/dispatch/handover_test.go
@@ -261,7 +261,7 @@
 	}
 }
 
-// An entry must refuse jobs of other entries only while it hands over most of its own, not because starts were late in a few windows.
+// An entry must refuse jobs of other entries only while it hands over most of its own jobs, not after a few windows with late starts.
 func TestEntryThatWasBrieflyLateAcceptsJobsOfOtherEntries(t *testing.T) {
 	for _, test := range []struct {
 		late, inTime int
--- a/internal/dispatch/return.go
+++ b/internal/dispatch/return.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// This file decides after which time the callers of refused jobs may retry.
+// This file determines when the callers of refused jobs may submit them again.
 
 const (
 	// RetryAfter is the minimum time after which the caller of a refused job may submit it again. Callers are told whole seconds,
 	// so one second is the least.
 	RetryAfter = time.Second
-	// maxRetryAfter is the maximum. The load known to an entry does not predict that of a later time.
+	// maxRetryAfter is the maximum time: the load known to an entry does not predict the load later than that.
 	maxRetryAfter = 10 * time.Second
-	// returnShare is the fraction of the recent rate of work that is reserved for returning callers. It equals the fraction of free
-	// resources required for late retries (lateRetryFreeShare); the rest is for new callers.
+	// returnShare is the fraction of the recent rate of work that is reserved for returning callers; the rest is for new callers. It
+	// equals the fraction of free resources required for late retries (lateRetryFreeShare).
 	returnShare = lateRetryFreeShare
-	// rateWindow is the time constant for averaging the rate of work: longer than the longest tasks, shorter than a burst.
+	// rateWindow is the time constant for averaging the rate of work. It is longer than the longest tasks and shorter than a burst.
 	rateWindow = 2 * time.Second
 )
 
@@ -65,17 +65,16 @@
 	p.recent.add(now, w, rateWindow)
 }
 
-// nextReturn returns the time after which the caller of a refused job may return; ok is false if there was too little work recently to
-// tell.
+// nextReturn returns the time after which the caller of a refused job may return. ok is false if there was too little work recently
+// to determine it.
 //
-// Inputs: the work of the job, the recently completed work of the tasks of this entry, the time given to the previous refused caller.
+// Inputs: the work of the job; the recently completed work of the tasks of this entry; the time given to the previous refused caller.
 //
-// Rule: a caller returns after the previously refused one, by the time that its job takes at returnShare of the rate of work, but
-// not before RetryAfter. Beyond maxRetryAfter it is a random time in the second half of maxRetryAfter.
+// Rule: a caller returns later than the previously refused one by the time that its job takes at returnShare of the rate of work, but
+// not before RetryAfter. A time beyond maxRetryAfter is replaced by a random one between half of maxRetryAfter and maxRetryAfter.
 //
 // Reason: jobs are refused in bursts. Callers that return together cause the next burst, and callers that return in the order of
-// their refusals wait about equally long. The rate shows when there will be resources for them, regardless of the size of the
-// site.
+// their refusals wait about equally long. The rate of work shows when there will be resources for them on a site of any size.
 func (p *retrySchedule) nextReturn(now time.Time, w work, random *rand.Rand) (wait time.Duration, ok bool) {
 	p.recent.decay(now, rateWindow)
 	rate := returnShare * float64(p.recent.sum) / rateWindow.Seconds()
