--- a/internal/runner/crash.go
+++ b/internal/runner/crash.go
@@ -17,15 +17,15 @@
 // Rule: an incarnation has crashed if the worker does not listen or another incarnation answers or sends a heartbeat,
 // and the worker was not draining. The crash is reported to every connected entry, and again on each session opened
 // within crashReportTime. The report contains the runs that may have been on the worker, except those with a start call
-// in progress. A run is marked as the latest if it was certainly running and no start was sent after its own: a start
-// in progress has most likely not begun a run, but it may have.
+// in progress: such a start has most likely not begun a run. A run is marked as the latest if it was certainly running and
+// no start, including those in progress, was sent after its own, as a start in progress may have begun a run.
 // Reason: any of these runs may have caused the crash and may crash the next worker. Every entry needs the report,
 // including one whose session was interrupted at that moment, because the job may be submitted again there.
 
 const (
 	// crashReportTime is how long a crash is reported on new sessions. An entry that lost its session reconnects within
-	// a second, and a new owner of a durable job takes over within ten; an entry that connects later is not told of the
-	// crash.
+	// one second, and a new owner of a durable job takes over within ten seconds. An entry that connects later than
+	// crashReportTime does not receive the report.
 	crashReportTime = 30 * time.Second
 	// maxCrashReports bounds the crashes kept for new sessions. A worker is unavailable for some seconds after each
 	// crash, so few occur within crashReportTime.
@@ -75,8 +75,8 @@
 	return t.state != stateStarting && t.state != stateRestarted
 }
 
-// crashedRuns returns the runs of the active tasks that may have caused a crash. maxDelay bounds how late the agent may
-// have handled its events.
+// crashedRuns returns the runs of the active tasks that may have caused a crash. maxDelay is the longest delay with which
+// the agent may have handled its events.
 func (i *incarnation) crashedRuns(active []*task, evidence crashEvidence, maxDelay time.Duration) []CrashedRun {
 	var latest *task
 	for _, t := range active {
--- a/internal/runner/evidence.go
+++ b/internal/runner/evidence.go
@@ -14,52 +14,52 @@
 // Inputs: when each start was sent, and on which worker clock the run was confirmed; when and how the worker's
 // connections ended, and whether one of them carried a long poll; the round-trip time of calls; when the crash was
 // detected.
-// Rule: the estimated time of the crash is when the first connection was closed without a reset, unless the worker has
-// answered a call since or that was longer than maxClosedTime ago; then it is when the crash was detected. The latest
-// possible time is when the crash was detected, or when that connection was closed if the two are less than
-// maxConfirmTime apart. A confirmed run counts as certainly running if its start was sent so shortly before the latest
-// possible time that it cannot have ended (certainRunTime) and it is not being stopped. All confirmed runs count if a
-// long poll was waiting at the worker (recordPollEnd).
-// Reason: an entry gives up a job because of crashes during runs that were certainly running. That a run was accepted
-// or listed a moment ago does not exclude an end that has not been reported yet, over any link: between two long polls,
-// or while there is none because an end is unacknowledged. A long poll waiting at the worker is answered as soon as a
-// run ends, before the worker can close the connection. A failing link resets its connections; an ending process closes
+// Rule: the estimated time of the crash is when the first connection was closed without a reset. If the worker has answered
+// a call since, or the connection was closed longer than maxClosedTime ago, it is when the crash was detected. The latest
+// possible time is when that connection was closed, if the crash was detected within maxConfirmTime of it, and otherwise
+// when the crash was detected. A confirmed run counts as certainly running if its start was sent so shortly before the
+// latest possible time that it cannot have ended (certainRunTime) and it is not being stopped. All confirmed runs count if
+// a long poll was waiting at the worker (recordPollEnd).
+// Reason: an entry gives up a job because of crashes during runs that were certainly running. A run that was accepted or
+// listed a moment ago may have ended without a report yet, over any link: between two long polls, or while there is no
+// long poll because an end is unacknowledged. A long poll waiting at the worker is answered as soon as a run ends, before
+// the worker can close the connection. A failing link resets its connections; an ending process closes
 // them. One case is not covered: a worker that closes a long poll and continues without answering any call until it
 // crashes.
 
 const (
 	// minTaskTime is the shortest run time of a task. Users state that tasks take 50 to 500 ms.
 	minTaskTime = 50 * time.Millisecond
-	// minCertainRunTime is the shortest time for which any run certainly lasts, whatever is known of its kind: half of
+	// minCertainRunTime is the time for which every run certainly lasts, whatever is known about its kind. It is half of
 	// minTaskTime, because workers differ in speed.
 	minCertainRunTime = minTaskTime / 2
-	// certainRunDivisor is the divisor of a task's usual time for how long its run certainly lasts. The estimates of callers
-	// deviate by 40 %, so that one job in three takes 1.5 times less or more than usual, and one in 170 three times.
+	// certainRunDivisor is the divisor by which a task's usual run time is reduced to the time for which its run certainly lasts.
+	// The estimates of callers deviate by 40 %, so one job in three takes 1.5 times less or more than usual, and one in 170 three
+	// times less or more.
 	certainRunDivisor = 3
-	// maxConfirmTime is the longest time from the closing of a connection to the detection of the crash for which the
-	// crash counts as having happened at the closing. The renewal that is sent at once takes a round trip of some
-	// milliseconds; a connection may also be closed by the link.
+	// maxConfirmTime is the longest time from the closing of a connection to the detection of the crash for which the crash
+	// counts as no later than the closing. The renewal that is sent at once takes a round trip of some milliseconds. The
+	// time is limited because the link may also have closed the connection.
 	maxConfirmTime = 25 * time.Millisecond
 	// maxClosedTime is how long a connection that was closed without a reset indicates the time of a crash: the worker
 	// may start again under its ID before a call reaches it.
 	maxClosedTime = time.Second
-	// maxAnswerAge is the longest time from the worker's latest answer to the end of the long poll: a worker that hangs
-	// reports no ends. It covers two renewals and an answer.
+	// maxAnswerAge is the longest time from the latest call that the worker answered to the end of a long poll for which the
+	// long poll counts: a worker that hangs reports no ends. It covers two renewals and an answer.
 	maxAnswerAge = 150 * time.Millisecond
-	// minPollTime is how long a long poll must have lasted to have reached the worker. It must also have lasted
-	// pollRoundTrips round trips, both of the latest call before it ended and of the next one: it reaches the worker in
-	// half a round trip, and the link may be slower than a moment ago.
+	// minPollTime is the minimum duration of a long poll that counts as having reached the worker. The long poll must also
+	// have lasted pollRoundTrips times the round trip of the latest call before its end, and of the next call after it: it
+	// reaches the worker in half a round trip, and the link may have become slower.
 	minPollTime    = 5 * time.Millisecond
 	pollRoundTrips = 2
 	// minWaitedTime replaces minPollTime if another process answers the poll, because no later call shows how slow the
 	// link is.
 	minWaitedTime = 50 * time.Millisecond
-	// maxLowLatencyTrip is the longest round trip for which a closed connection is noticed at once. It is ten times
-	// that of a call to a worker on the same VM.
+	// maxLowLatencyTrip is the longest round trip for which a closed connection counts as noticed at once. It is ten times the
+	// round trip to a worker on the same VM.
 	maxLowLatencyTrip = 10 * time.Millisecond
-	// maxClockError is how far the worker's clock in an answer may deviate from the value extrapolated from earlier
-	// answers if both come from one process. It covers the transmission of two answers on a busy VM and the drift
-	// between them.
+	// maxClockError is how far the worker's clock in an answer may deviate from the value extrapolated from an earlier
+	// answer of the same process. It covers the transmission of two answers on a busy VM and the clock drift between them.
 	maxClockError = 100 * time.Millisecond
 )
 
@@ -88,8 +88,8 @@
 	}
 }
 
-// recordAlive records that the worker has answered a call sent at the given time. Connections closed before that time are
-// no sign of a crash.
+// recordAlive records that the worker has answered a call sent at the given time. Connections that were closed before that
+// time do not indicate a crash.
 func (i *incarnation) recordAlive(sent time.Time) {
 	if !sent.Before(i.connectionLoss.firstAt) {
 		i.connectionLoss = connectionLoss{}
@@ -116,13 +116,13 @@
 	}
 }
 
-// hadLongPoll reports whether a long poll had reached the process that ended, also judged by the round trips of later
-// calls.
+// hadLongPoll reports whether a long poll had reached the process that ended, also if the round trip of the latest call is
+// taken into account.
 func (i *incarnation) hadLongPoll() bool {
 	return !i.connectionLoss.pollAt.IsZero() && i.connectionLoss.pollTook >= pollRoundTrips*i.roundTrip
 }
 
-// recordRoundTrip records the duration of a call that was refused or answered at once, by whichever process.
+// recordRoundTrip records the duration of a call that was refused or answered at once by any process.
 func (i *incarnation) recordRoundTrip(took time.Duration, result worker.Result) {
 	if _, isUnanswered := result.(worker.NoResponse); !isUnanswered {
 		i.roundTrip = took
@@ -173,15 +173,15 @@
 	estimatedAt, latestAt time.Time
 	// hadLongPoll is set if a long poll was waiting at the worker, which would have reported any earlier end.
 	hadLongPoll bool
-	// mayReuseID is set if a later process with the same ID may have accepted a run. lastSeenAlive is the latest time at
-	// which the incarnation is known to have existed.
-	mayReuseID    bool
+	// mayReuseID is set if a later process with the same ID may have accepted a run.
+	mayReuseID bool
+	// lastSeenAlive is the latest time at which the incarnation is known to have existed.
 	lastSeenAlive time.Time
-	// refusedAt is when the call was made that found nobody listening, or zero if there was none.
+	// refusedAt is when the call was made whose connection was refused, or zero if there was none.
 	refusedAt time.Time
 }
 
-// evidence describes the crash of the incarnation if it is detected now with the given end.
+// evidence returns the evidence about a crash of the incarnation that is detected now, with the given kind of end.
 func (i *incarnation) evidence(now time.Time, end incarnationEnd) crashEvidence {
 	evidence := crashEvidence{estimatedAt: now, latestAt: now, mayReuseID: i.hasStartTime() && end.mayReuseID(), lastSeenAlive: i.lastAnswered}
 	if end == endNotListening {
@@ -202,7 +202,7 @@
 	return evidence
 }
 
-// describeEvidence returns the evidence about the end of the incarnation for the log, if it is detected now.
+// describeEvidence returns the evidence about an end of the incarnation that is detected now, for the log.
 func (i *incarnation) describeEvidence(now time.Time) EndEvidence {
 	described := EndEvidence{
 		HadLongPoll: i.hadLongPoll(), PollTook: i.connectionLoss.pollTook, RoundTrip: i.roundTrip, SinceAnswered: now.Sub(i.lastAnsweredCall()),
--- a/internal/runner/unsettled.go
+++ b/internal/runner/unsettled.go
@@ -14,11 +14,11 @@
 // time.
 // Rule: such a task is reported as lost once the worker's next process has rejected or ended any run that a delayed
 // start may have begun there, or after lateStartTime.
-// Reason: the call contains only the worker's ID. A restarted worker may still carry it out while the task runs
-// elsewhere.
+// Reason: a start call identifies the worker only by its ID, which a restarted worker may keep. The restarted worker could
+// carry out the call while the task already runs elsewhere.
 
 // lateStartTime is the longest time for which reporting a task as lost is postponed because of a delayed start. Callers
-// wait for 1.5 s, so a longer time would leave none to run the task elsewhere.
+// wait for 1.5 s, so a longer postponement would leave no time to run the task elsewhere.
 const lateStartTime = 600 * time.Millisecond
 
 // unsettledTask is a task of an ended incarnation that has not been reported as lost yet.
@@ -48,7 +48,8 @@
 	}
 }
 
-// finishUnsettled reports the unsettled tasks as lost whose report is due.
+// finishUnsettled reports unsettled tasks as lost: all once the runs of the worker's next process are known and include no
+// orphans, and before that those that have expired.
 func (r *Runner) finishUnsettled(now time.Time) {
 	hasSettled := r.worker != nil && r.worker.knowsAllRuns && len(r.worker.orphans) == 0
 	r.unsettled = slices.DeleteFunc(r.unsettled, func(u unsettledTask) bool {
