--- a/internal/runner/shares.go
+++ b/internal/runner/shares.go
@@ -14,18 +14,19 @@
 
 // Shares
 //
-// Inputs: the kind of each reservation and task, the availability zone of its entry, the usage of each such competitor on this worker, the
-// weights of the kinds (package shares).
-// Rule: competitors that were given no more than their share get free resources first. Among them, and among the others, urgency decides. An
-// offer names the kind whose jobs may use it.
-// Reason: by urgency alone, a burst of one kind or availability zone would take the resources of all others, as its jobs that have started
-// precede the jobs that have not. Only the agent sees how much of its worker all entries use.
+// Inputs: the competitor to which each reservation and task belongs, which is a kind together with the availability zone of the
+// entry; the usage of each competitor on this worker; the weights of the kinds (package shares).
+// Rule: competitors that were given no more than their share get free resources first. Among them, and among the others, urgency
+// decides. An offer names the kind whose jobs may use it.
+// Reason: by urgency alone, a burst of one kind or availability zone would take the resources of all others, as its jobs that have
+// started precede the jobs that have not. Only the agent sees how much of its worker all entries use.
 
 // sharing records how the competitors use the worker. It is kept when the worker's incarnation changes.
 type sharing struct {
 	accounts *shares.Accounts
 	kinds    *shares.Kinds
-	// bounds are the resources that longer tasks leave free for shorter ones. If areBoundsOutdated is set, they must be computed again before use.
+	// bounds are the resources that longer tasks leave free for shorter ones. If areBoundsOutdated is set, they must be computed
+	// again before use.
 	bounds            []shares.HeadroomBound
 	areBoundsOutdated bool
 	// contendedUntil is the time until which longer tasks leave resources free for shorter ones.
@@ -44,7 +45,7 @@
 // sharesInterval is the shortest time between two SharesDivided effects.
 const sharesInterval = time.Second
 
-// competitor returns the competitor to which jobs of a kind belong that arrive on the session.
+// competitor returns the competitor to which the jobs of a kind belong if they arrive on the session.
 func (s *session) competitor(kind string) shares.Competitor {
 	return shares.Competitor{Zone: s.zone, Kind: kind}
 }
--- a/internal/runner/stop.go
+++ b/internal/runner/stop.go
@@ -15,10 +15,12 @@
 // Stops and their retries
 //
 // Inputs: the worker's answer to a stop call, and its listings.
-// Rule: a stop is repeated until the worker accepts it, as long as the worker responds. A stopped run has ended when the worker lists its
-// end, or when it is missing in a listing that was requested later than the answer plus Limits.Stop plus the drift of the worker's clock.
-// Reason: an unresponsive worker does not carry out stops, and would have to process all of them before it answers anything new; its runs
-// end when their leases expire. After the answer a run may continue for Limits.Stop, and the worker need not list it during that time.
+// Rule: a stop is repeated until the worker accepts it, as long as the worker responds. A stopped run has ended when the worker
+// lists its end, or when it is missing in a listing that was requested later than Limits.Stop after the answer, with an allowance
+// for the drift of the worker's clock.
+// Reason: an unresponsive worker does not carry out stops, and would have to process all of them before it answers anything new;
+// its runs end when their leases expire. After the answer a run may continue for Limits.Stop, and the worker need not list it
+// during that time.
 
 const (
 	// stopRetryInterval is the time between two stop calls for the same run: longer than the call's time-out of 25 ms.
@@ -84,8 +86,8 @@
 	return s.answered.IsZero()
 }
 
-// hasEnded reports whether a run has ended if a listing that was requested at the given time does not contain it. bound is
-// how long a run may continue after its stop was accepted.
+// hasEnded reports whether the absence of the run from a listing that was requested at the given time shows that the run has
+// ended. bound is how long a run may continue after its stop was accepted.
 func (s *stop) hasEnded(requested time.Time, bound time.Duration) bool {
 	return !s.awaitsAnswer() && requested.After(s.answered.Add(bound))
 }
@@ -169,8 +171,8 @@
 	}
 }
 
-// retryStop repeats a stop whose call failed. If the call failed within minRetryInterval or the worker is unresponsive, it
-// is left to retryStops.
+// retryStop repeats a stop whose call failed. If the call failed within minRetryInterval or the worker is unresponsive, the
+// stop is left to retryStops.
 func (r *Runner) retryStop(now time.Time, s *stop) {
 	failedAtOnce := now.Sub(s.lastSent) < minRetryInterval
 	if s.awaitsAnswer() && !failedAtOnce && !r.worker.isUnresponsive(now) {
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -22,7 +22,7 @@
 //	checking  -> queued     the run is not listed
 //	active    -> restarted  the worker restarted under the same ID
 //	restarted -> running    the run is listed by the new process
-//	active    -> stopping   the entry requested it, its session ended, or a newer session has the task
+//	active    -> stopping   the entry requested a stop, its session ended, or a newer session has the task
 //
 // A task can finish in every state.
 type taskState int
@@ -32,13 +32,13 @@
 	stateQueued taskState = iota
 	// stateStarting has a pending start.
 	stateStarting
-	// stateChecking has a start without an answer: the next listing fences it and shows whether a run started.
+	// stateChecking has an unanswered start: the next listing fences it and shows whether a run started.
 	stateChecking
 	// stateRestarted had a run or a pending start when the worker restarted under the same ID; see restart.go.
 	stateRestarted
 	// stateRunning has a run on the worker.
 	stateRunning
-	// stateStopping has a pending stop: an end or a later listing shows that no run is left.
+	// stateStopping has a pending stop: a listed end, or a later listing without the run, shows that the run has ended.
 	stateStopping
 )
 
@@ -48,17 +48,18 @@
 	session SessionID
 	state   taskState
 	arrived time.Time
-	// startEmittedAt is when the start effect of the current run was emitted. startNumber is its number among all starts that were sent to the
-	// worker.
+	// startEmittedAt is when the start effect of the current run was emitted.
 	startEmittedAt time.Time
-	startNumber    uint64
-	// sent is when the start call was made; until its answer arrives it is equal to began. startTook is the duration of the call. The run
-	// started after sent.
+	// startNumber is the number of this start among all starts that were sent to the worker.
+	startNumber uint64
+	// sent is when the start call was made, or startEmittedAt until its answer arrives. The run started after sent. startTook is the
+	// duration of the call.
 	sent      time.Time
 	startTook time.Duration
 	// hasStarted is set once it is certain that the current run has started.
 	hasStarted bool
-	// confirmedAt is when this process received that confirmation. isOnClock is set if the answer carried the clock of the incarnation.
+	// confirmedAt is when this process received the confirmation that the run has started. isOnClock is set if the answer contained the
+	// clock of the incarnation.
 	confirmedAt time.Time
 	isOnClock   bool
 	// stop is the stop of the current run in stateStopping.
