--- a/internal/dispatch/containment.go
+++ b/internal/dispatch/containment.go
@@ -29,7 +29,7 @@
 // Reason: each job that crashes its workers makes two of them unavailable for seconds. If such jobs arrive faster than workers
 // recover, no kind is served. Containment limits the damage to the kind's share of the workers. Every entry learns of every crash
 // with the kinds of the runs, so all entries reach the same decision and choose nearly the same agents without coordination: the
-// smaller of two subsets is part of the larger one. An entry that has just started learns that other entries contain the kind from
+// smaller one of two subsets is part of the larger one. An entry that has just started learns that other entries contain the kind from
 // the crashes under contained jobs that its agents report. A rack that loses power is not evidence: it only makes its tasks suspects,
 // and a job is given up only after a second crash in which it was the latest start. Many callers waiting for one job are not
 // evidence either, as jobs are counted and not requests.
--- a/internal/dispatch/crashhistory.go
+++ b/internal/dispatch/crashhistory.go
@@ -21,7 +21,8 @@
 // and the crash alone is evidence against its job (isEvidence). A crash is unexplained if it is older than settleTime, is not known
 // to be caused by a task, and no other worker has crashed under any of its tasks. Workers crash for other causes if any crash is
 // unexplained, and for many other causes if the number of unexplained crashes reaches the number of agents divided by
-// agentsPerUnexplained, and at least manyUnexplained. In both cases there must be at least unexplainedPerCaused unexplained crashes per caused one.
+// agentsPerUnexplained, and at least manyUnexplained. In both cases there must be at least unexplainedPerCaused unexplained
+// crashes per caused one.
 //
 // Reason: if a fraction of all workers is killed every second, the probability that two of them are killed under the same task is
 // the square of that fraction, and sometimes its runs have about the same age. Two such crashes look like those that a task causes.
