--- a/internal/handover/check_test.go
+++ b/internal/handover/check_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestAnInvalidJobEndsTheConnection sends a job without steps to an entry. The job before it is dropped with the connection.
+// TestAnInvalidJobEndsTheConnection sends a job without steps to an entry. The entry must close the connection, cancel the job received
+// before and accept none after it.
 func TestAnInvalidJobEndsTheConnection(t *testing.T) {
 	local := &fakeEntry{submitted: make(chan *submission, 10)}
 	address, _ := serve(t, local)
@@ -60,14 +61,14 @@
 	c.Send(packJob(clock.Now(), 3, "zone-a", job("c")))
 	ended := make(chan error, 1)
 	go func() { ended <- stream.Read(c, func(*handoverpb.FromReceiver) {}) }()
-	if err := next(t, ended); err == nil {
+	if err := receive(t, ended); err == nil {
 		t.Error("the connection ended without an error")
 	}
-	s := next(t, local.submitted)
+	s := receive(t, local.submitted)
 	if s.job.ID != "a" {
 		t.Errorf("got the job %s first", s.job.ID)
 	}
-	next(t, s.ctx.Done())
+	receive(t, s.ctx.Done())
 	if len(local.submitted) > 0 {
 		t.Error("a job was taken after the invalid one")
 	}
--- a/internal/handover/choice.go
+++ b/internal/handover/choice.go
@@ -5,32 +5,35 @@
 
 import "time"
 
-// This file decides to which entry a job is handed over.
+// This file selects the entry to which a job is handed over.
 //
-// Inputs: the entries to which a connection is open, the jobs that each of them has from here, when each refused one last.
+// Inputs: the entries with an open connection, the number of outstanding jobs that this entry has handed over to each, and the time of
+// each entry's last refusal.
 //
-// Rule: of two entries at random, among those that have not refused a job lately, the one with fewer jobs from here.
+// Rule: pick two entries at random among those that have not refused a job within refusalBackoff, and choose the one with fewer
+// outstanding jobs from this entry (power of two choices).
 //
-// Reason: how much room an entry has changes faster than entries hear of each other. One with little room answers more slowly, so that it has
-// more jobs from here, and refuses before it is late itself.
+// Reason: the free capacity of an entry changes faster than entries exchange their state. An entry with little free capacity answers more
+// slowly, so it accumulates outstanding jobs, and it refuses jobs before its own become late.
 
-// refusalBackoff is how long an entry gets no jobs after it refused one: some windows of the measure by which it refuses.
+// refusalBackoff is how long an entry is sent no jobs after it refused one. It spans several windows of the measurement on which an entry
+// bases its refusals.
 const refusalBackoff = 200 * time.Millisecond
 
-// candidate is an entry that may get a job.
+// candidate is an entry to which a job may be handed over.
 type candidate struct {
-	// jobs is how many it has from here.
+	// jobs is the number of outstanding jobs handed over to the entry from this one.
 	jobs int
-	// refused is when it refused one last, zero for never.
+	// refused is the time of the last refusal, zero if there was none.
 	refused time.Time
 }
 
-// isAvailable reports whether the entry may get a job at a time.
+// isAvailable reports whether a job may be handed over to the entry at the given time.
 func (c candidate) isAvailable(now time.Time) bool {
 	return c.refused.IsZero() || now.Sub(c.refused) >= refusalBackoff
 }
 
-// choose returns the index of the entry that gets the next job; ok is false if there is none. draw returns a random number below its argument.
+// choose returns the index of the candidate for the next job; ok is false if none is available. draw returns a random number below its argument.
 func choose(now time.Time, candidates []candidate, draw func(n int) int) (index int, ok bool) {
 	var available []int
 	for i, c := range candidates {
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -12,7 +12,7 @@
 	"sailhead/internal/wire"
 )
 
-// packJob returns a job as it is on the wire at a time. The caller's zone is that of the sender unless the job names one.
+// packJob converts a job to the message that is sent at the given time. The caller's zone defaults to that of the sender.
 func packJob(now time.Time, number uint64, zone string, job dispatch.Job) *handoverpb.FromSender {
 	if job.Zone != "" {
 		zone = job.Zone
@@ -27,7 +27,7 @@
 	return &handoverpb.FromSender{Message: &handoverpb.FromSender_Job{Job: packed}}
 }
 
-// unpackJob returns a job that arrived at a time and has passed checkJob.
+// unpackJob converts a message received at the given time to a job. The message must have passed checkJob.
 func unpackJob(now time.Time, packed *handoverpb.Job) dispatch.Job {
 	job := durable.UnpackJob(packed.Job)
 	job.IsHandedOver = true
@@ -57,7 +57,8 @@
 	return &handoverpb.FromReceiver{Message: &handoverpb.FromReceiver_Answer{Answer: packed}}
 }
 
-// unpackAnswer returns the result of a job. An outcome that this version does not know says nothing of what has run.
+// unpackAnswer converts an answer to the result of the hand-over. An outcome unknown to this version becomes Interrupted, as it does not tell
+// whether any task has run.
 func unpackAnswer(packed *handoverpb.Answer) dispatch.HandOverResult {
 	switch packed.Outcome {
 	case handoverpb.Outcome_OUTCOME_COMPLETED:
--- a/internal/handover/fuzz_test.go
+++ b/internal/handover/fuzz_test.go
@@ -20,10 +20,10 @@
 	"sailhead/internal/stream"
 )
 
-// dispatching submits jobs to a dispatcher of its own, and answers when their time is over.
-type dispatching struct{}
+// dispatchingEntry submits each job to a new dispatcher, advances it by one second, and answers that the job was interrupted.
+type dispatchingEntry struct{}
 
-func (dispatching) Submit(_ context.Context, job dispatch.Job) dispatch.Answer {
+func (dispatchingEntry) Submit(_ context.Context, job dispatch.Job) dispatch.Answer {
 	now := clock.Now()
 	d := dispatch.New(dispatch.Limits{Jobs: 10}, rand.New(rand.NewPCG(1, 2)))
 	d.Handle(now, dispatch.Submitted{Job: job, Waiter: 1})
@@ -31,7 +31,7 @@
 	return dispatch.Interrupted{}
 }
 
-// FuzzFromSender applies two messages of another entry, which may be of another version, and a withdrawal of what they have handed over.
+// FuzzFromSender applies two arbitrary messages, as another entry of a different version may send them, and then withdraws their jobs.
 func FuzzFromSender(f *testing.F) {
 	step := &durablepb.Step{Count: 2, Cpu: 1000, ExpectedMs: 100}
 	later := &durablepb.Step{Count: 1, After: []uint32{0}}
@@ -53,7 +53,7 @@
 		ours, theirs := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, theirs) }()
 		ctx, cancel := context.WithCancel(context.Background())
-		r := &receiving{local: dispatching{}, conn: stream.New(ours, uncounted{}), ctx: ctx, cancel: make(map[uint64]context.CancelFunc)}
+		r := &inboundConn{local: dispatchingEntry{}, conn: stream.New(ours, uncounted{}), ctx: ctx, cancel: make(map[uint64]context.CancelFunc)}
 		defer r.conn.Close(stream.ErrClosed)
 		defer cancel()
 		for _, data := range [][]byte{one, other} {
@@ -62,7 +62,7 @@
 				continue
 			}
 			r.handle(&message)
-			if job := message.GetJob(); job != nil && checkJob(job) != nil && !r.isBroken {
+			if job := message.GetJob(); job != nil && checkJob(job) != nil && !r.hasInvalidMessage {
 				t.Fatalf("%x: an invalid job was taken", data)
 			}
 			r.end(message.GetJob().GetNumber())
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -24,7 +24,7 @@
 	"sailhead/internal/worker"
 )
 
-// fakeEntry is an entry that takes jobs. Each waits in submitted until the test answers it, or its context ends.
+// fakeEntry is a local entry that passes each job to the test, and returns when the test answers it or its context is cancelled.
 type fakeEntry struct {
 	submitted chan *submission
 }
@@ -46,14 +46,14 @@
 	}
 }
 
-// outcome is what a sender reports of a job. The result is nil for the report that the job was taken.
+// outcome is a sender's report about a job. The result is nil if the report says that the job was accepted.
 type outcome struct {
 	job, entry string
 	number     uint64
 	result     dispatch.HandOverResult
 }
 
-// recorder keeps the reports of a sender.
+// recorder is a Handler that records the reports of a sender.
 type recorder struct{ outcomes chan outcome }
 
 func (r *recorder) HandOverAccepted(job string, number uint64, entry string) {
@@ -64,16 +64,16 @@
 	r.outcomes <- outcome{job: job, number: number, result: result}
 }
 
-// handOverTest is a sender and one or more other entries.
+// handOverTest is a sender with one or more peers.
 type handOverTest struct {
 	t       *testing.T
 	sender  *Sender
 	reports *recorder
-	// last is the number of the latest hand-over.
+	// last is the number of the most recent hand-over.
 	last uint64
 }
 
-// newHandOverTest returns a sender whose peers are at the addresses, with a connection to one of them.
+// newHandOverTest returns a sender whose peers listen on the given addresses.
 func newHandOverTest(t *testing.T, addresses ...string) *handOverTest {
 	var peers []Peer
 	for i, address := range addresses {
@@ -86,13 +86,13 @@
 	return r
 }
 
-// serve serves an entry and returns its address and a function that ends all its connections.
+// serve starts a server for an entry and returns its address and a function that closes the server and all its connections.
 func serve(t *testing.T, local Local) (address string, kill func()) {
 	address, kill, _ = serveUntilStopped(t, local)
 	return address, kill
 }
 
-// serveUntilStopped is serve, with the clean-up of the server.
+// serveUntilStopped is like serve, and also returns the clean-up of NewServer.
 func serveUntilStopped(t *testing.T, local Local) (address string, kill, stop func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,33 +135,33 @@
 	}
 }
 
-// longest is how long the tests wait for what must happen.
-const longest = 10 * time.Second
+// testTimeout bounds the wait for an expected event.
+const testTimeout = 10 * time.Second
 
-// tryHandOver hands a job over if an entry may get it now.
+// tryHandOver hands a job over if an entry is available now.
 func (r *handOverTest) tryHandOver(j dispatch.Job) bool {
 	r.last++
 	return r.sender.HandOver(r.last, j)
 }
 
-// handOver hands a job over as soon as a connection is open.
+// handOver hands a job over, retrying until an entry is available.
 func (r *handOverTest) handOver(j dispatch.Job) {
 	r.t.Helper()
-	for end := time.Now().Add(longest); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if r.tryHandOver(j) {
 			return
 		}
 	}
-	r.t.Fatalf("nobody takes the job %s", j.ID)
+	r.t.Fatalf("no entry accepted the job %s", j.ID)
 }
 
-func next[T any](t *testing.T, from <-chan T) T {
+func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case item := <-from:
 		return item
-	case <-time.After(longest):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("nothing received before the timeout")
 		panic("unreachable")
 	}
 }
@@ -172,8 +172,8 @@
 	r := newHandOverTest(t, address)
 	sent := job("a")
 	r.handOver(sent)
-	s := next(t, local.submitted)
-	if off := s.job.Received.Sub(sent.Received); off < -2*time.Millisecond || off > longest {
+	s := receive(t, local.submitted)
+	if off := s.job.Received.Sub(sent.Received); off < -2*time.Millisecond || off > testTimeout {
 		t.Errorf("the job was received %s later", off)
 	}
 	want := sent
@@ -181,20 +181,20 @@
 	if !reflect.DeepEqual(s.job, want) {
 		t.Errorf("got %+v, want %+v", s.job, want)
 	}
-	if got, want := next(t, r.reports.outcomes), (outcome{job: "a", number: r.last, entry: "entry-0"}); got != want {
+	if got, want := receive(t, r.reports.outcomes), (outcome{job: "a", number: r.last, entry: "entry-0"}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	for _, answer := range []dispatch.Answer{
 		dispatch.Completed{}, dispatch.Failed{Reason: "f"}, dispatch.NotRun{Reason: "n", RetryAfter: 3 * time.Second}, dispatch.Interrupted{Reason: "i"},
 	} {
 		s.answer <- answer
-		got, want := next(t, r.reports.outcomes), outcome{job: s.job.ID, number: r.last, result: dispatch.HandOverAnswered{Answer: answer}}
+		got, want := receive(t, r.reports.outcomes), outcome{job: s.job.ID, number: r.last, result: dispatch.HandOverAnswered{Answer: answer}}
 		if got != want {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 		r.handOver(job(s.job.ID + "a"))
-		s = next(t, local.submitted)
-		next(t, r.reports.outcomes)
+		s = receive(t, local.submitted)
+		receive(t, r.reports.outcomes)
 	}
 }
 
@@ -203,9 +203,9 @@
 	address, _ := serve(t, local)
 	r := newHandOverTest(t, address)
 	r.handOver(job("a"))
-	next(t, r.reports.outcomes)
-	next(t, local.submitted).answer <- dispatch.NotRun{Reason: "late", RetryAfter: time.Second, IsLocal: true}
-	if got, want := next(t, r.reports.outcomes), (outcome{job: "a", number: r.last, result: dispatch.HandOverRefused{Reason: "late"}}); got != want {
+	receive(t, r.reports.outcomes)
+	receive(t, local.submitted).answer <- dispatch.NotRun{Reason: "late", RetryAfter: time.Second, IsLocal: true}
+	if got, want := receive(t, r.reports.outcomes), (outcome{job: "a", number: r.last, result: dispatch.HandOverRefused{Reason: "late"}}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if r.tryHandOver(job("b")) {
@@ -219,21 +219,22 @@
 	address, _ := serve(t, local)
 	r := newHandOverTest(t, address)
 	r.handOver(job("a"))
-	s := next(t, local.submitted)
+	s := receive(t, local.submitted)
 	r.sender.Withdraw(r.last)
-	next(t, s.ctx.Done())
+	receive(t, s.ctx.Done())
 	if !r.tryHandOver(job("a")) {
 		t.Error("the job cannot be handed over again")
 	}
 }
 
-// TestTheLastAnswersOfAnEntryThatStopsArrive answers some jobs while the server is being closed. The others are lost, as they may have run.
+// TestTheLastAnswersOfAnEntryThatStopsArrive closes the server right after some jobs were answered. Their answers must still arrive; the other
+// jobs must be reported as lost, as they may have run.
 func TestTheLastAnswersOfAnEntryThatStopsArrive(t *testing.T) {
 	t.Run("all answered", func(t *testing.T) { stopAfterAnswers(t, 0) })
 	t.Run("some not answered", func(t *testing.T) { stopAfterAnswers(t, 10) })
 }
 
-// stopAfterAnswers closes the server of an entry that has answered all but some of its jobs.
+// stopAfterAnswers closes the server of an entry that has answered all but the given number of its jobs.
 func stopAfterAnswers(t *testing.T, open int) {
 	local := &fakeEntry{submitted: make(chan *submission, 100)}
 	address, _, stop := serveUntilStopped(t, local)
@@ -241,12 +242,12 @@
 	const jobs = 40
 	for range jobs {
 		r.handOver(job(fmt.Sprint(r.last)))
-		next(t, r.reports.outcomes)
+		receive(t, r.reports.outcomes)
 	}
 	var unanswered []*submission
 	answered := make(map[string]bool)
 	for i := range jobs {
-		s := next(t, local.submitted)
+		s := receive(t, local.submitted)
 		if i < open {
 			unanswered = append(unanswered, s)
 			continue
@@ -256,7 +257,7 @@
 	}
 	stop()
 	for range jobs {
-		got := next(t, r.reports.outcomes)
+		got := receive(t, r.reports.outcomes)
 		_, isLost := got.result.(dispatch.HandOverLost)
 		isCompleted := got.result == dispatch.HandOverAnswered{Answer: dispatch.Completed{}}
 		if isCompleted != answered[got.job] || isLost == answered[got.job] {
@@ -265,7 +266,7 @@
 	}
 	for _, s := range unanswered {
 		if s.ctx.Err() == nil {
-			t.Error("a job goes on after the server was closed")
+			t.Error("a job was not cancelled when the server was closed")
 		}
 	}
 	if len(r.reports.outcomes) > 0 {
@@ -273,11 +274,11 @@
 	}
 }
 
-// TestAServerThatStopsTakesNoJobs hands a job over while the server waits for the answer of another one.
+// TestAServerThatStopsTakesNoJobs sends a job to a server that is shutting down. It must refuse the job.
 func TestAServerThatStopsTakesNoJobs(t *testing.T) {
 	local := &fakeEntry{submitted: make(chan *submission, 10)}
 	ours, theirs := net.Pipe()
-	receiver := &receiving{local: local, conn: stream.New(ours, uncounted{}), ctx: t.Context(), cancel: make(map[uint64]context.CancelFunc)}
+	receiver := &inboundConn{local: local, conn: stream.New(ours, uncounted{}), ctx: t.Context(), cancel: make(map[uint64]context.CancelFunc)}
 	receiver.isStopping = true
 	sender := stream.New(theirs, uncounted{})
 	defer sender.Close(stream.ErrClosed)
@@ -286,33 +287,33 @@
 	go func() { _ = stream.Read(receiver.conn, receiver.handle) }()
 	go func() { _ = stream.Read(sender, func(m *handoverpb.FromReceiver) { messages <- m }) }()
 	sender.Send(packJob(clock.Now(), 7, "zone-a", job("a")))
-	answer := next(t, messages).GetAnswer()
+	answer := receive(t, messages).GetAnswer()
 	if answer.GetNumber() != 7 || answer.GetOutcome() != handoverpb.Outcome_OUTCOME_REFUSED || len(local.submitted) > 0 {
 		t.Errorf("got %v, want a refusal", answer)
 	}
 }
 
-// TestTheJobsOfAnEntryThatDiesAreLost kills the entry that has a job: it may have run.
+// TestTheJobsOfAnEntryThatDiesAreLost kills an entry with an outstanding job. The job must be reported as lost, as it may have run.
 func TestTheJobsOfAnEntryThatDiesAreLost(t *testing.T) {
 	local := &fakeEntry{submitted: make(chan *submission, 10)}
 	address, kill := serve(t, local)
 	r := newHandOverTest(t, address)
 	r.handOver(job("a"))
-	next(t, r.reports.outcomes)
-	s := next(t, local.submitted)
+	receive(t, r.reports.outcomes)
+	s := receive(t, local.submitted)
 	kill()
-	got := next(t, r.reports.outcomes)
+	got := receive(t, r.reports.outcomes)
 	if _, isLost := got.result.(dispatch.HandOverLost); got.job != "a" || !isLost {
 		t.Errorf("got %+v, want a lost job", got)
 	}
-	next(t, s.ctx.Done())
+	receive(t, s.ctx.Done())
 	if r.tryHandOver(job("b")) {
-		t.Error("a job was handed over to an entry that is gone")
+		t.Error("a job was handed over to an entry that was killed")
 	}
 }
 
-// TestAFullRingTakesNoJobAndLosesNone hands jobs over to an entry that reads nothing, until it gets no more. None of those that it has is lost
-// before the connection ends for its silence.
+// TestAFullRingTakesNoJobAndLosesNone hands jobs over to an entry that reads nothing, until the sender stops. A full send queue must not close
+// the connection, as that would lose the jobs already handed over; only the liveness timeout may.
 func TestAFullRingTakesNoJobAndLosesNone(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
@@ -339,7 +340,7 @@
 	}
 }
 
-// proxy forwards the bytes of one connection, in both directions, until it is told to be silent.
+// proxy forwards connections to an address in both directions until silence is called.
 func proxy(t *testing.T, to string) (address string, silence func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -356,7 +357,7 @@
 			}
 			select {
 			case <-silent:
-				// The bytes are lost, and the connection stays open.
+				// Discard the bytes but keep the connection open.
 				_, _ = io.Copy(io.Discard, from)
 				return
 			default:
@@ -382,34 +383,35 @@
 	return listener.Addr().String(), func() { close(silent) }
 }
 
-// TestBothEndsNoticeAConnectionThatFellSilent cuts a connection without a reset while a job is under way. The other entry drops the job, and the
-// sender reports it as lost, before the caller comes again.
+// TestBothEndsNoticeAConnectionThatFellSilent interrupts a connection without a TCP reset while a job is outstanding. The receiver must cancel
+// the job and the sender must report it as lost.
 func TestBothEndsNoticeAConnectionThatFellSilent(t *testing.T) {
 	local := &fakeEntry{submitted: make(chan *submission, 10)}
 	address, _ := serve(t, local)
 	through, silence := proxy(t, address)
 	r := newHandOverTest(t, through)
 	r.handOver(job("a"))
-	next(t, r.reports.outcomes)
-	s := next(t, local.submitted)
+	receive(t, r.reports.outcomes)
+	s := receive(t, local.submitted)
 	time.Sleep(2 * timing.SessionCloseTimeout)
 	if s.ctx.Err() != nil {
 		t.Fatal("the job was dropped while both ends were alive")
 	}
 	silence()
 	silenced := time.Now()
-	next(t, s.ctx.Done())
-	got := next(t, r.reports.outcomes)
+	receive(t, s.ctx.Done())
+	got := receive(t, r.reports.outcomes)
 	if _, isLost := got.result.(dispatch.HandOverLost); !isLost {
 		t.Errorf("got %+v, want a lost job", got)
 	}
 	t.Logf("noticed after %s", time.Since(silenced))
 }
 
-// TestARunOfALostEntryEndsBeforeItsCallerComesAgain adds up the times until the receiver of a job stops its runs.
+// TestARunOfALostEntryEndsBeforeItsCallerComesAgain checks that the worst-case time until the receiver of a job has stopped its runs is shorter
+// than the callers' retry delay. Otherwise a retry could run beside the first attempt.
 func TestARunOfALostEntryEndsBeforeItsCallerComesAgain(t *testing.T) {
 	if noticed := timing.SessionCloseTimeout + pingInterval; noticed+timing.MaxStopTime >= timing.CallerRetryDelay {
-		t.Errorf("silence is noticed after %s, and callers come again after %s", noticed, timing.CallerRetryDelay)
+		t.Errorf("a silent connection is detected after %s, and callers retry after %s", noticed, timing.CallerRetryDelay)
 	}
 }
 
--- a/internal/handover/liveness.go
+++ b/internal/handover/liveness.go
@@ -12,22 +12,23 @@
 	"sailhead/internal/timing"
 )
 
-// pingInterval is the time between two pings of each end while jobs are under way: two lost pings are not yet timing.SessionCloseTimeout.
+// pingInterval is the time between pings of each end while jobs are outstanding. Two lost pings stay within timing.SessionCloseTimeout.
 const pingInterval = timing.IdlePingInterval
 
-// errSilent ends a connection whose peer was silent for too long.
-var errSilent = errors.New("handover: the peer is silent")
+// errSilent closes a connection whose peer sent nothing for timing.SessionCloseTimeout.
+var errSilent = errors.New("handover: the peer sent nothing within the session close timeout")
 
-// liveness tells whether the peer of a connection is silent. Only time in which jobs are under way counts, as pings are sent only then. It is safe
-// for concurrent use.
+// liveness detects a silent peer of a connection. Only time with outstanding jobs counts, as pings are sent only then. It is safe for
+// concurrent use.
 type liveness struct {
 	mu sync.Mutex
-	// jobs is how many are under way, and heard when the peer was heard last or the first of them began, if that was later.
-	jobs  int
+	// jobs is the number of outstanding jobs.
+	jobs int
+	// heard is the time of the last message from the peer, or of the first outstanding job if that is later.
 	heard time.Time
 }
 
-// began records that a job is under way.
+// began records an additional outstanding job.
 func (l *liveness) began(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,21 +38,21 @@
 	l.jobs++
 }
 
-// ended records that a job is not under way any more.
+// ended records that a job is no longer outstanding.
 func (l *liveness) ended() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs--
 }
 
-// received records that the peer was heard.
+// received records a message from the peer.
 func (l *liveness) received(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.heard = now
 }
 
-// check reports whether jobs are under way and whether the peer is silent.
+// check reports whether jobs are outstanding and, if so, whether the peer has been silent for timing.SessionCloseTimeout.
 func (l *liveness) check(now time.Time) (isActive, isSilent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/handover/redial.go
+++ b/internal/handover/redial.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// This file decides when a connection to an entry is opened again.
+// This file decides when to reconnect to an entry.
 //
-// Inputs: how often in succession connections to the entry could not be opened or have ended.
+// Inputs: the number of successive connections to the entry that failed to open or ended.
 //
-// Rule: the pause begins at minRedialDelay and doubles up to maxRedialDelay; each is drawn from half to one and a half of that. It
-// begins anew once the last pause has been over for maxRedialDelay.
+// Rule: exponential backoff with jitter. The delay starts at minRedialDelay and doubles up to maxRedialDelay; the actual delay is random
+// between 0.5 and 1.5 times that. The backoff is reset once maxRedialDelay has passed since the end of the last delay.
 //
-// Reason: an entry that starts again is reached soon, and the others do not all come at once or all the time.
+// Reason: a restarted entry is reached quickly, and the other entries neither reconnect all at once nor continuously.
 
 const (
 	minRedialDelay = 100 * time.Millisecond
 	maxRedialDelay = 3200 * time.Millisecond
 )
 
-// redial is the pause before the next connection to an entry. The zero value is that of an entry to which there was none.
+// redial is the backoff state for connections to one entry. The zero value is that of an entry without earlier connections.
 type redial struct {
 	delay time.Duration
-	// at is when the pause is over.
+	// at is when the delay ends.
 	at time.Time
 }
 
-// after returns the pause that begins at a time. draw returns a random duration below its argument.
+// after returns the state with the delay that starts at the given time. draw returns a random duration below its argument.
 func (r redial) after(now time.Time, draw func(time.Duration) time.Duration) redial {
 	next := redial{delay: minRedialDelay}
 	if !r.isOver(now) {
@@ -39,11 +39,12 @@
 	return next
 }
 
-// isOver reports whether the pause does not matter any more.
+// isOver reports whether the backoff is reset.
 func (r redial) isOver(now time.Time) bool { return r.delay == 0 || now.Sub(r.at) >= maxRedialDelay }
 
-// ended records that the connection to an entry could not be opened or has ended, and forgets pauses that do not matter any more.
-func (s *Sender) ended(now time.Time, name string) {
+// recordDisconnect records that a connection to an entry failed to open or ended, and removes the state of entries whose backoff is reset.
+// The caller holds mu.
+func (s *Sender) recordDisconnect(now time.Time, name string) {
 	s.redials[name] = s.redials[name].after(now, rand.N)
 	for other, r := range s.redials {
 		if r.isOver(now) {
--- a/internal/handover/redial_test.go
+++ b/internal/handover/redial_test.go
@@ -23,19 +23,19 @@
 			want *= time.Millisecond
 			r = r.after(now, func(d time.Duration) time.Duration { return time.Duration(draw.share * float64(d)) })
 			if r.delay != want || r.at.Sub(now) != time.Duration(draw.times*float64(want)) {
-				t.Errorf("pause %d: %s until %s later, want %s", i, r.delay, r.at.Sub(now), want)
+				t.Errorf("delay %d: %s until %s later, want %s", i, r.delay, r.at.Sub(now), want)
 			}
 			now = r.at.Add(maxRedialDelay - time.Millisecond)
 		}
 		now = now.Add(time.Millisecond)
 		if r = r.after(now, func(time.Duration) time.Duration { return 0 }); r.delay != minRedialDelay {
-			t.Errorf("after a long time the pause is %s, want %s", r.delay, minRedialDelay)
+			t.Errorf("after the reset the delay is %s, want %s", r.delay, minRedialDelay)
 		}
 	}
 }
 
-// TestAnEntryThatClosesEachConnectionIsNotDialledAgainAndAgain hands jobs over all the time while the only other entry accepts connections and
-// closes them.
+// TestAnEntryThatClosesEachConnectionIsNotDialledAgainAndAgain hands jobs over continuously while the only other entry accepts connections and
+// closes them at once. The backoff must limit the number of connections.
 func TestAnEntryThatClosesEachConnectionIsNotDialledAgainAndAgain(t *testing.T) {
 	var dialled atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -52,7 +52,7 @@
 		r.tryHandOver(job("a"))
 		time.Sleep(time.Millisecond)
 	}
-	// The shortest pauses are 50, 100, 200 and 400 ms.
+	// With the smallest jitter the delays are 50, 100, 200 and 400 ms.
 	if got := dialled.Load(); got < 2 || got > 4 {
 		t.Errorf("%d connections were opened, want 2 to 4", got)
 	}
--- a/internal/handover/sender.go
+++ b/internal/handover/sender.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	// maxLinks is the number of entries to which connections are open while jobs are handed over, and standbyLinks that at other times: an entry
-	// that is late already opens connections late.
-	maxLinks     = 8
+	// maxLinks is the maximum number of connections to other entries while jobs are handed over.
+	maxLinks = 8
+	// standbyLinks is the number of connections kept open at other times, because an overloaded entry is slow to open new ones.
 	standbyLinks = 2
-	// dialTimeout bounds the opening of a connection: a hundred round trips between availability zones.
+	// dialTimeout limits the time to open a connection. It allows for a hundred round trips between availability zones.
 	dialTimeout = 250 * time.Millisecond
-	// standbyInterval is the time between two looks whether standbyLinks are open.
+	// standbyInterval is the time between checks that standbyLinks connections are open.
 	standbyInterval = time.Second
-	// idleTimeout is how long a connection without jobs stays open.
+	// idleTimeout is how long an idle connection stays open.
 	idleTimeout = 10 * time.Second
 )
 
-// Handler is told what becomes of the jobs that were handed over. Its methods are called from goroutines of the sender.
+// Handler receives the outcomes of hand-overs. Its methods are called from goroutines of the sender.
 type Handler interface {
-	// HandOverAccepted is called when another entry, of the name given, has taken a job.
+	// HandOverAccepted is called when the named entry has accepted a job.
 	HandOverAccepted(job string, number uint64, entry string)
-	// HandOverEnded is called with the result of a job. No call with its number comes after it.
+	// HandOverEnded is called with the result of a hand-over. It is the last call with its number.
 	HandOverEnded(job string, number uint64, result dispatch.HandOverResult)
 }
 
@@ -53,17 +53,17 @@
 
 // Sender hands jobs over to other entries. It is safe for concurrent use.
 type Sender struct {
-	zone    string
-	handler Handler
-	peers   func() []Peer
-	ctx     context.Context
-	duties  sync.WaitGroup
+	zone       string
+	handler    Handler
+	peers      func() []Peer
+	ctx        context.Context
+	goroutines sync.WaitGroup
 
 	mu    sync.Mutex
 	links []*link
-	// jobs has where each job is, by the numbers of the hand-overs.
+	// jobs maps the numbers of outstanding hand-overs to their links.
 	jobs map[uint64]*link
-	// redials has the pauses before the next connections, by the names of the entries; see redial.go.
+	// redials maps the names of entries to their reconnect backoff; see redial.go.
 	redials map[string]redial
 }
 
@@ -73,27 +73,27 @@
 	// conn is nil until the connection is open.
 	conn  *stream.Connection
 	alive liveness
-	// jobs are the IDs of those under way, by the numbers of the hand-overs.
+	// jobs maps the numbers of outstanding hand-overs to the IDs of their jobs.
 	jobs map[uint64]string
-	// refused is when the entry refused a job last or had too many messages to read, and used when one was handed over last.
+	// refused is when the entry last refused a job or the send queue was too full for one. used is when a job was last handed over.
 	refused, used time.Time
 }
 
-// NewSender returns a sender of an entry in an availability zone. peers returns the entries that may get jobs. The clean-up closes all
-// connections; jobs under way are lost then.
+// NewSender returns a sender for an entry in the given availability zone. peers returns the entries to which jobs may be handed over. The
+// clean-up closes all connections, and outstanding jobs are reported as lost.
 func NewSender(zone string, peers func() []Peer, handler Handler) (*Sender, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Sender{zone: zone, peers: peers, handler: handler, ctx: ctx, jobs: make(map[uint64]*link), redials: make(map[string]redial)}
-	s.duties.Go(s.keepStandby)
+	s.goroutines.Go(s.keepStandby)
 	return s, func() {
 		cancel()
 		s.closeAll()
-		s.duties.Wait()
+		s.goroutines.Wait()
 	}
 }
 
-// HandOver sends a job to another entry. Each hand-over has a number of its own. HandOver does not block. It returns false if no entry may
-// get the job now. It opens further connections for later jobs.
+// HandOver sends a job to another entry without blocking. The number must be unique for each hand-over. HandOver returns false if no entry is
+// available now. It also starts opening further connections for later jobs.
 func (s *Sender) HandOver(number uint64, job dispatch.Job) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +107,7 @@
 		l.refused = now
 		return false
 	}
-	// The answer is handled after this, as it needs the lock.
+	// The answer cannot be handled before the job is recorded, as handling it needs the lock.
 	l.jobs[number] = job.ID
 	l.used = now
 	l.alive.began(now)
@@ -115,7 +115,7 @@
 	return true
 }
 
-// Withdraw ends a hand-over whose result is not needed any more.
+// Withdraw cancels a hand-over whose result is no longer needed.
 func (s *Sender) Withdraw(number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,12 +123,12 @@
 	if !ok {
 		return
 	}
-	s.forget(l, number)
+	s.removeJob(l, number)
 	withdrawal := &handoverpb.Withdrawal{Number: number}
 	l.conn.Send(&handoverpb.FromSender{Message: &handoverpb.FromSender_Withdrawal{Withdrawal: withdrawal}})
 }
 
-// choose returns the link on which the next job goes, or nil if there is none.
+// choose returns the link for the next job, or nil if none is available.
 func (s *Sender) choose(now time.Time) *link {
 	var open []*link
 	var candidates []candidate
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// keepStandby keeps standbyLinks connections open until the sender is closed.
+// keepStandby maintains standbyLinks open connections until the sender is closed.
 func (s *Sender) keepStandby() {
 	ticker := time.NewTicker(standbyInterval)
 	defer ticker.Stop()
@@ -160,9 +160,9 @@
 	}
 }
 
-// openLinks opens connections to further entries, at random, up to a number of links in all.
-func (s *Sender) openLinks(most int) {
-	if len(s.links) >= most {
+// openLinks starts opening connections to random further entries until there are limit links. The caller holds mu.
+func (s *Sender) openLinks(limit int) {
+	if len(s.links) >= limit {
 		return
 	}
 	now := clock.Now()
@@ -170,12 +170,12 @@
 	rand.Shuffle(len(peers), func(i, k int) { peers[i], peers[k] = peers[k], peers[i] })
 	for _, peer := range peers {
 		isLinked := slices.ContainsFunc(s.links, func(l *link) bool { return l.peer.Name == peer.Name })
-		if len(s.links) >= most || isLinked || now.Before(s.redials[peer.Name].at) || s.ctx.Err() != nil {
+		if len(s.links) >= limit || isLinked || now.Before(s.redials[peer.Name].at) || s.ctx.Err() != nil {
 			continue
 		}
 		l := &link{peer: peer, jobs: make(map[uint64]string), used: now}
 		s.links = append(s.links, l)
-		s.duties.Go(func() { s.serve(l) })
+		s.goroutines.Go(func() { s.serve(l) })
 	}
 }
 
@@ -193,15 +193,15 @@
 	if s.ctx.Err() != nil {
 		c.Close(stream.ErrClosed)
 	}
-	s.duties.Go(func() {
+	s.goroutines.Go(func() {
 		watch(c, &l.alive, &handoverpb.FromSender{Message: &handoverpb.FromSender_Ping{Ping: &handoverpb.Ping{}}})
 	})
-	s.duties.Go(func() { s.closeIdle(l, c) })
+	s.goroutines.Go(func() { s.closeIdle(l, c) })
 	err = stream.Read(c, func(m *handoverpb.FromReceiver) { s.handle(l, m) })
-	s.lose(l, err)
+	s.reportLost(l, err)
 }
 
-// handle applies a message of the entry at the other end. Messages that this version does not know are ignored.
+// handle processes a message from the peer. Messages of types unknown to this version are ignored.
 func (s *Sender) handle(l *link, m *handoverpb.FromReceiver) {
 	l.alive.received(clock.Now())
 	switch message := m.Message.(type) {
@@ -210,17 +210,17 @@
 			s.handler.HandOverAccepted(job, message.Taken.Number, l.peer.Name)
 		}
 	case *handoverpb.FromReceiver_Answer:
-		s.answered(l, message.Answer)
+		s.handleAnswer(l, message.Answer)
 	}
 }
 
-// answered passes the result of a job on.
-func (s *Sender) answered(l *link, answer *handoverpb.Answer) {
+// handleAnswer reports the result of a hand-over to the handler, unless the job was withdrawn.
+func (s *Sender) handleAnswer(l *link, answer *handoverpb.Answer) {
 	result := unpackAnswer(answer)
 	s.mu.Lock()
 	job, ok := l.jobs[answer.Number]
 	if ok {
-		s.forget(l, answer.Number)
+		s.removeJob(l, answer.Number)
 	}
 	if _, isRefused := result.(dispatch.HandOverRefused); isRefused {
 		l.refused = clock.Now()
@@ -231,7 +231,7 @@
 	}
 }
 
-// find returns the job of a number that is under way on a link.
+// find returns the ID of the job with the given hand-over number on a link.
 func (s *Sender) find(l *link, number uint64) (job string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,19 +239,19 @@
 	return job, ok
 }
 
-// forget removes a job that is not under way any more.
-func (s *Sender) forget(l *link, number uint64) {
+// removeJob removes a job that is no longer outstanding. The caller holds mu.
+func (s *Sender) removeJob(l *link, number uint64) {
 	delete(s.jobs, number)
 	delete(l.jobs, number)
 	l.alive.ended()
 }
 
-// lose reports the jobs as lost that were under way on a link whose connection has ended.
-func (s *Sender) lose(l *link, cause error) {
+// reportLost reports the outstanding jobs of a link whose connection has ended as lost.
+func (s *Sender) reportLost(l *link, cause error) {
 	s.mu.Lock()
 	lost := maps.Clone(l.jobs)
 	for number := range lost {
-		s.forget(l, number)
+		s.removeJob(l, number)
 	}
 	l.conn = nil
 	s.mu.Unlock()
@@ -260,15 +260,16 @@
 	}
 }
 
-// remove removes a link.
+// remove removes a link and starts its reconnect backoff.
 func (s *Sender) remove(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended(clock.Now(), l.peer.Name)
+	s.recordDisconnect(clock.Now(), l.peer.Name)
 	s.links = slices.DeleteFunc(s.links, func(other *link) bool { return other == l })
 }
 
-// closeIdle closes the connection of a link once no job was handed over for idleTimeout, and returns when it has ended.
+// closeIdle closes the connection of a link that has no outstanding jobs and no hand-over for idleTimeout, unless it is needed as standby. It
+// returns when the connection has ended.
 func (s *Sender) closeIdle(l *link, c *stream.Connection) {
 	ticker := time.NewTicker(idleTimeout)
 	defer ticker.Stop()
@@ -281,7 +282,7 @@
 		s.mu.Lock()
 		isIdle := len(s.links) > standbyLinks && len(l.jobs) == 0 && clock.Now().Sub(l.used) > idleTimeout
 		if isIdle {
-			// No further job is sent on it.
+			// This prevents further hand-overs on the link.
 			l.conn = nil
 		}
 		s.mu.Unlock()
@@ -291,7 +292,6 @@
 	}
 }
 
-// closeAll closes all connections.
 func (s *Sender) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -302,24 +302,24 @@
 	}
 }
 
-// dial opens a connection to the server at an address.
+// dial opens a hand-over connection to the server at an address.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "handover: unable to reach the entry %s", address)
+		return nil, errors.Wrapf(err, "handover: unable to connect to the entry %s", address)
 	}
 	if err := changeProtocol(ctx, conn, address); err != nil {
 		_ = conn.Close()
-		return nil, errors.Wrapf(err, "handover: unable to open a connection with the entry %s", address)
+		return nil, errors.Wrapf(err, "handover: unable to upgrade the connection to the entry %s", address)
 	}
 	return conn, nil
 }
 
-// changeProtocol asks the server to change the protocol of a connection, before the deadline of the context. The buffered reader takes no
-// messages with the answer, as the server sends none before it has got a job.
+// changeProtocol requests the upgrade of a connection to the hand-over protocol, within the deadline of the context. The buffered reader can
+// be discarded without losing messages, as the server sends none before it has received a job.
 func changeProtocol(ctx context.Context, conn net.Conn, address string) error {
 	deadline, _ := ctx.Deadline()
 	if err := conn.SetDeadline(deadline); err != nil {
--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -24,51 +24,52 @@
 )
 
 const (
-	// Path is where a connection is opened, and protocol what it changes to.
-	Path     = "/handover"
+	// Path is the HTTP path at which connections are opened.
+	Path = "/handover"
+	// protocol is the value of the Upgrade header.
 	protocol = "sailhead-handover"
 )
 
-// Local is the entry to which a server submits the jobs of others.
+// Local is the entry to which a server submits jobs from other entries.
 type Local interface {
-	// Submit returns the final answer to a job. If the context ends first, the job is dropped.
+	// Submit returns the final answer to a job. If the context is cancelled first, the job is cancelled.
 	Submit(ctx context.Context, job dispatch.Job) dispatch.Answer
 }
 
-// Server takes jobs from other entries.
+// Server accepts jobs from other entries.
 type Server struct {
-	local  Local
-	logger log.Logger
-	duties sync.WaitGroup
+	local      Local
+	logger     log.Logger
+	goroutines sync.WaitGroup
 
 	mu       sync.Mutex
-	open     map[*receiving]bool
+	open     map[*inboundConn]bool
 	isClosed bool
 }
 
-// answerTimeout is how long the clean-up waits for the local entry to answer: one that has stopped answers at once.
+// answerTimeout is how long the clean-up waits for answers of the local entry. It is short because a stopped entry answers at once.
 const answerTimeout = 20 * time.Millisecond
 
-// NewServer returns a server that submits jobs to the local entry. It serves Path. The clean-up comes after the local entry has stopped: it
-// sends the last answers, closes all connections, drops the jobs that the entry has not answered, and returns when nothing of the server
-// runs any more.
+// NewServer returns a server that handles requests for Path and submits jobs to the local entry. The clean-up must be called after the local
+// entry has stopped. It sends the remaining answers, closes all connections, cancels the unanswered jobs, and returns when all goroutines of
+// the server have ended.
 func NewServer(local Local, logger log.Logger) (*Server, func()) {
-	s := &Server{local: local, logger: logger, open: make(map[*receiving]bool)}
+	s := &Server{local: local, logger: logger, open: make(map[*inboundConn]bool)}
 	return s, s.close
 }
 
-// close ends all connections.
+// close finishes all connections and waits for the server's goroutines.
 func (s *Server) close() {
 	s.mu.Lock()
 	s.isClosed = true
 	for r := range s.open {
-		s.duties.Go(r.finish)
+		s.goroutines.Go(r.finish)
 	}
 	s.mu.Unlock()
-	s.duties.Wait()
+	s.goroutines.Wait()
 }
 
-// ServeHTTP changes the protocol of a connection and serves it in another goroutine until it ends.
+// ServeHTTP upgrades a connection to the hand-over protocol and serves it in another goroutine until it ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") != protocol {
 		http.Error(w, "use the protocol "+protocol, http.StatusUpgradeRequired)
@@ -85,12 +86,12 @@
 		return
 	}
 	if err := acceptProtocol(conn); err != nil || !s.add(conn) {
-		// The peer is gone or the process stops, and the peer learns as much from the end of the connection.
+		// Either the peer has disconnected or this process is stopping; closing the connection is sufficient notice for the peer.
 		_ = conn.Close()
 	}
 }
 
-// add serves a connection in another goroutine, unless the server is closed.
+// add starts a goroutine that serves a connection. It returns false if the server is closed.
 func (s *Server) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,16 +99,16 @@
 		return false
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &receiving{local: s.local, conn: stream.New(conn, uncounted{}), ctx: ctx, cancel: make(map[uint64]context.CancelFunc)}
+	r := &inboundConn{local: s.local, conn: stream.New(conn, uncounted{}), ctx: ctx, cancel: make(map[uint64]context.CancelFunc)}
 	s.open[r] = true
-	s.duties.Go(func() {
+	s.goroutines.Go(func() {
 		defer cancel()
 		s.serve(r, conn.RemoteAddr())
 	})
 	return true
 }
 
-// acceptProtocol tells the peer that the protocol changes, and removes the deadlines of the HTTP server.
+// acceptProtocol sends the response to the upgrade request, and clears the deadlines set by the HTTP server.
 func acceptProtocol(conn net.Conn) error {
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return err
@@ -116,30 +117,30 @@
 	return err
 }
 
-// receiving is a connection on which jobs come.
-type receiving struct {
+// inboundConn is a connection on which another entry hands jobs over.
+type inboundConn struct {
 	local Local
 	conn  *stream.Connection
 	alive liveness
 	ctx   context.Context
-	// submits are the calls of Submit that have not returned.
+	// submits counts the calls of Submit that have not returned.
 	submits sync.WaitGroup
 	mu      sync.Mutex
 	cancel  map[uint64]context.CancelFunc
-	// isStopping is set once no further jobs are taken.
+	// isStopping is set once no further jobs are accepted.
 	isStopping bool
-	// isBroken is set once a message was invalid. Only the goroutine that reads uses it.
-	isBroken bool
+	// hasInvalidMessage is set once an invalid message was received. Only the reading goroutine uses it.
+	hasInvalidMessage bool
 }
 
-// serve takes jobs until the connection ends, and drops those that are under way then.
-func (s *Server) serve(r *receiving, address net.Addr) {
-	s.duties.Go(func() {
+// serve accepts jobs until the connection ends, and then cancels the outstanding ones.
+func (s *Server) serve(r *inboundConn, address net.Addr) {
+	s.goroutines.Go(func() {
 		watch(r.conn, &r.alive, &handoverpb.FromReceiver{Message: &handoverpb.FromReceiver_Ping{Ping: &handoverpb.Ping{}}})
 	})
-	// Other reasons for the end are known to the sender, which logs them.
+	// Connections that ended for other reasons are logged by the sender.
 	if err := stream.Read(r.conn, r.handle); errors.Is(err, errInvalid) {
-		_ = level.Error(s.logger).Log("msg", "unable to take jobs of another entry", "address", address, "err", err)
+		_ = level.Error(s.logger).Log("msg", "unable to accept jobs from another entry", "address", address, "err", err)
 	}
 	r.dropAll()
 	s.mu.Lock()
@@ -148,8 +149,8 @@
 	r.submits.Wait()
 }
 
-// dropAll drops the jobs that are under way.
-func (r *receiving) dropAll() {
+// dropAll cancels all outstanding jobs.
+func (r *inboundConn) dropAll() {
 	r.mu.Lock()
 	numbers := slices.Collect(maps.Keys(r.cancel))
 	r.mu.Unlock()
@@ -158,8 +159,8 @@
 	}
 }
 
-// finish takes no further jobs, sends the answers of those under way that come soon, and ends the connection.
-func (r *receiving) finish() {
+// finish refuses further jobs, waits up to answerTimeout for the answers to the outstanding ones, and ends the connection once these are sent.
+func (r *inboundConn) finish() {
 	r.mu.Lock()
 	r.isStopping = true
 	r.mu.Unlock()
@@ -175,19 +176,19 @@
 	r.conn.Finish()
 }
 
-// errInvalid ends a connection whose sender sent what no entry sends.
+// errInvalid closes a connection on which an invalid message was received.
 var errInvalid = errors.New("handover: invalid message")
 
-// handle applies a message of the sender. Messages that this version does not know are ignored; an invalid one ends the connection.
-func (r *receiving) handle(m *handoverpb.FromSender) {
-	if r.isBroken {
+// handle processes a message from the sender. Messages of types unknown to this version are ignored; an invalid message closes the connection.
+func (r *inboundConn) handle(m *handoverpb.FromSender) {
+	if r.hasInvalidMessage {
 		return
 	}
 	r.alive.received(clock.Now())
 	switch message := m.Message.(type) {
 	case *handoverpb.FromSender_Job:
 		if err := r.check(message.Job); err != nil {
-			r.isBroken = true
+			r.hasInvalidMessage = true
 			r.conn.Close(errors.Wrap(errInvalid, err.Error()))
 			return
 		}
@@ -197,8 +198,8 @@
 	}
 }
 
-// check returns an error for a job that cannot be taken.
-func (r *receiving) check(packed *handoverpb.Job) error {
+// check validates a job and returns an error if its number is already in use.
+func (r *inboundConn) check(packed *handoverpb.Job) error {
 	r.mu.Lock()
 	_, isKnown := r.cancel[packed.Number]
 	r.mu.Unlock()
@@ -208,8 +209,8 @@
 	return checkJob(packed)
 }
 
-// take submits a job and sends its answer when there is one.
-func (r *receiving) take(packed *handoverpb.Job) {
+// take submits a job and sends its answer, unless the job is cancelled first.
+func (r *inboundConn) take(packed *handoverpb.Job) {
 	ctx, ok := r.begin(packed.Number)
 	if !ok {
 		r.conn.Send(packAnswer(packed.Number, dispatch.NotRun{Reason: "the entry stops", RetryAfter: dispatch.RetryAfter, IsLocal: true}))
@@ -228,8 +229,8 @@
 	}()
 }
 
-// begin records that a job is under way, and one more call of Submit; ok is false if no further jobs are taken.
-func (r *receiving) begin(number uint64) (ctx context.Context, ok bool) {
+// begin records an outstanding job and its call of Submit; ok is false if no further jobs are accepted.
+func (r *inboundConn) begin(number uint64) (ctx context.Context, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.isStopping {
@@ -241,8 +242,8 @@
 	return ctx, true
 }
 
-// end ends a job. It does nothing if the job has ended.
-func (r *receiving) end(number uint64) {
+// end cancels the context of a job. It does nothing if the job has ended already.
+func (r *inboundConn) end(number uint64) {
 	r.mu.Lock()
 	cancel, ok := r.cancel[number]
 	delete(r.cancel, number)
@@ -253,7 +254,7 @@
 	}
 }
 
-// watch pings while jobs are under way on a connection, closes it if its peer is silent, and returns once it has ended.
+// watch sends pings while jobs are outstanding on a connection, closes it if its peer is silent, and returns once it has ended.
 func watch(conn *stream.Connection, alive *liveness, ping proto.Message) {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
@@ -273,7 +274,7 @@
 	}
 }
 
-// uncounted is a counter of connections whose messages are not counted.
+// uncounted is a stream.Counter that does nothing.
 type uncounted struct{}
 
 func (uncounted) Sent(proto.Message, int)     {}
