--- a/internal/stream/connection.go
+++ b/internal/stream/connection.go
@@ -3,8 +3,8 @@
 
 // Package stream carries protobuf messages over a TCP connection, length-delimited and in order, in both directions.
 //
-// The package owns the connection and the queue of messages to be written. If the queue is full the connection is closed: a peer that does not
-// read is treated as lost. Nothing is resent, and what was not written when a connection ends is dropped; Finish writes it before.
+// The package owns the connection and its send queue. If the queue overflows, the connection is closed: a peer that does not read is treated
+// as lost. Nothing is resent. Messages still queued when a connection ends are dropped, unless it is ended by Finish, which writes them first.
 package stream
 
 import (
@@ -19,71 +19,73 @@
 )
 
 const (
-	// RingSize is how many messages may wait to be written. If more do, the peer does not read, and the connection ends: at the target size
-	// an agent starts 22 tasks a second, so this is seconds of messages even if one entry sends all.
+	// RingSize is the capacity of the send queue, in messages. If the queue overflows, the peer is not reading, and the connection is closed.
+	// At the target size an agent starts 22 tasks per second, so the capacity is several seconds of messages even if one entry sends all.
 	RingSize = 1024
-	// writeTimeout bounds the writing of the messages that wait. It is longer than timing.SessionCloseTimeout, so pings end the connection of a
-	// peer that does not read first.
+	// writeTimeout limits the time to write the queued messages. It is longer than timing.SessionCloseTimeout, so missing pings close the
+	// connection to a peer that does not read before this timeout does.
 	writeTimeout = time.Second
-	// finishTimeout bounds Finish: some round trips between availability zones, and less than a stopping process has for its clean-ups.
+	// finishTimeout limits the duration of Finish. It allows for several round trips between availability zones, and is less than the time a
+	// stopping process has for its clean-ups.
 	finishTimeout = 100 * time.Millisecond
-	// bufferSize is the size of each buffer of a connection, in bytes: about ten payloads. Two buffers and 100 connections take 0.8 of the 32
-	// MB that a process may have.
+	// bufferSize is the size of the read and the write buffer of a connection, in bytes. It holds about ten payloads. The two buffers of 100
+	// connections take 0.8 MB of the 32 MB that a process may use.
 	bufferSize = 4 << 10
-	// maxMessage is the largest message, in bytes: payloads are a few hundred.
+	// maxMessage is the maximum size of a message, in bytes. Payloads are a few hundred bytes.
 	maxMessage = 1 << 20
 )
 
-// errSlowPeer ends a connection whose peer reads more slowly than messages are sent.
-var errSlowPeer = errors.Errorf("stream: %d messages wait to be written", RingSize)
+// errSlowPeer closes a connection whose peer reads more slowly than messages are sent.
+var errSlowPeer = errors.Errorf("stream: send queue full with %d messages", RingSize)
 
-// ErrClosed ends a connection that this end closed.
+// ErrClosed is the cause of a connection closed by this end.
 var ErrClosed = errors.New("stream: closed by this end")
 
-// Counter counts the messages of connections and their bytes, without those of the network's own headers. It must be safe for concurrent
-// use.
+// Counter counts the messages of connections and their bytes, excluding network protocol headers. It must be safe for concurrent use.
 type Counter interface {
 	Sent(message proto.Message, bytes int)
 	Received(message proto.Message, bytes int)
 }
 
-// Connection writes and reads messages in order. It is safe for concurrent use, except that one goroutine reads.
+// Connection writes and reads messages in order. It is safe for concurrent use, except that only one goroutine may read.
 type Connection struct {
 	conn    net.Conn
 	counter Counter
-	ring    chan proto.Message
+	queue   chan proto.Message
 	closed  chan struct{}
 	once    sync.Once
-	// finishing is closed once nothing more is to be sent, and written once what was queued then is written.
+	// finishing is closed by the first call of Finish.
 	finishing  chan struct{}
 	finishOnce sync.Once
-	written    chan struct{}
-	// cause is why the connection was closed. It is set once, before closed is.
+	// written is closed when the writing goroutine returns.
+	written chan struct{}
+	// cause is why the connection was closed. It is set once, before closed is closed.
 	cause error
 }
 
-// New takes over a connection. It ends with Close or Finish, or when Read returns.
+// New takes ownership of a connection. The connection is released by Close or Finish, or when Read returns.
 func New(conn net.Conn, counter Counter) *Connection {
 	c := &Connection{
-		conn: conn, counter: counter, ring: make(chan proto.Message, RingSize), closed: make(chan struct{}),
+		conn: conn, counter: counter, queue: make(chan proto.Message, RingSize), closed: make(chan struct{}),
 		finishing: make(chan struct{}), written: make(chan struct{}),
 	}
 	go c.write()
 	return c
 }
 
-// Close closes the connection without writing the messages that wait. Only the first cause is stored.
+// Close closes the connection without writing the queued messages. Only the first cause is stored.
 func (c *Connection) Close(cause error) {
 	c.once.Do(func() {
 		c.cause = cause
 		close(c.closed)
-		// The peer sees the end either way, and there is nothing to do about an error.
+		// An error is ignored, as the peer detects the end of the connection either way.
 		_ = c.conn.Close()
 	})
 }
 
-// Finish writes the messages that wait and closes the connection once the peer has closed it too, or after finishTimeout. What is sent
-// after it is dropped. Another goroutine has to read meanwhile: a close with unread messages would take from the peer what it has not read.
+// Finish writes the queued messages and closes the connection once the peer has closed it too, or after finishTimeout. Messages sent
+// afterwards are dropped. Another goroutine must read in the meantime: closing a connection with unread data resets it, which discards the data
+// that the peer has not read yet.
 func (c *Connection) Finish() {
 	c.finishOnce.Do(func() { close(c.finishing) })
 	timeout := time.NewTimer(finishTimeout)
@@ -96,24 +98,24 @@
 	<-c.written
 }
 
-// Send queues a message. It does not block.
+// Send queues a message without blocking. If the queue is full, it closes the connection.
 func (c *Connection) Send(message proto.Message) {
 	select {
-	case c.ring <- message:
+	case c.queue <- message:
 	default:
 		c.Close(errSlowPeer)
 	}
 }
 
-// TrySend queues a message if no more than half of the ring is in use, and reports whether it did. It does not block. The other half is left to
-// messages that must be sent, and a connection whose peer reads slowly goes on.
+// TrySend queues a message without blocking if less than half of the queue is in use, and reports whether it did. The other half is reserved
+// for messages that must be sent, so that a connection with a slow peer stays open.
 func (c *Connection) TrySend(message proto.Message) bool {
 	select {
 	case <-c.closed:
 		return false
 	default:
 	}
-	if len(c.ring) >= RingSize/2 {
+	if len(c.queue) >= RingSize/2 {
 		return false
 	}
 	c.Send(message)
@@ -134,7 +136,7 @@
 		case <-c.finishing:
 			c.writeLast(buffer)
 			return
-		case message := <-c.ring:
+		case message := <-c.queue:
 			if !c.writeOrClose(buffer, message) {
 				return
 			}
@@ -142,10 +144,10 @@
 	}
 }
 
-// writeLast writes what is queued and ends this direction of the connection.
+// writeLast writes the queued messages and closes the write side of the connection.
 func (c *Connection) writeLast(buffer *bufio.Writer) {
 	select {
-	case message := <-c.ring:
+	case message := <-c.queue:
 		if !c.writeOrClose(buffer, message) {
 			return
 		}
@@ -157,11 +159,11 @@
 		return
 	}
 	if err := half.CloseWrite(); err != nil {
-		c.Close(errors.Wrapf(err, "stream: unable to end the connection to %s", c.conn.RemoteAddr()))
+		c.Close(errors.Wrapf(err, "stream: unable to close the write side of the connection to %s", c.conn.RemoteAddr()))
 	}
 }
 
-// writeOrClose writes a message and all that are queued behind it. It closes the connection and returns false if that fails.
+// writeOrClose writes a message and all queued ones. It closes the connection and returns false if that fails.
 func (c *Connection) writeOrClose(buffer *bufio.Writer, message proto.Message) bool {
 	err := c.writeQueued(buffer, message)
 	if err != nil {
@@ -170,9 +172,9 @@
 	return err == nil
 }
 
-// writeQueued writes a message and all that are queued behind it, and flushes them together.
+// writeQueued writes a message and all queued ones, and flushes them together.
 func (c *Connection) writeQueued(buffer *bufio.Writer, message proto.Message) error {
-	// An error of setting the deadline is that of a closed connection, which the write reports too.
+	// Setting the deadline fails only on a closed connection, which the write reports too.
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	for {
 		bytes, err := protodelim.MarshalTo(buffer, message)
@@ -181,7 +183,7 @@
 		}
 		c.counter.Sent(message, bytes)
 		select {
-		case message = <-c.ring:
+		case message = <-c.queue:
 		default:
 			return buffer.Flush()
 		}
--- a/internal/stream/connection_test.go
+++ b/internal/stream/connection_test.go
@@ -18,20 +18,20 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// longest is how long the tests wait for what must happen.
-const longest = 10 * time.Second
+// testTimeout bounds the wait for an expected event.
+const testTimeout = 10 * time.Second
 
-// uncounted is a counter that does not count.
+// uncounted is a Counter that does nothing.
 type uncounted struct{}
 
 func (uncounted) Sent(proto.Message, int)     {}
 func (uncounted) Received(proto.Message, int) {}
 
-// tally counts messages and bytes in one goroutine.
-type tally struct{ messages, bytes int }
+// receiveCounter counts received messages and bytes. It is not safe for concurrent use.
+type receiveCounter struct{ messages, bytes int }
 
-func (*tally) Sent(proto.Message, int) {}
-func (c *tally) Received(_ proto.Message, bytes int) {
+func (*receiveCounter) Sent(proto.Message, int) {}
+func (c *receiveCounter) Received(_ proto.Message, bytes int) {
 	c.messages++
 	c.bytes += bytes
 }
@@ -61,7 +61,7 @@
 
 func text(s string) *wrapperspb.StringValue { return wrapperspb.String(s) }
 
-// framed returns messages as they are on the wire.
+// framed returns the wire encoding of messages.
 func framed(t *testing.T, messages ...proto.Message) []byte {
 	t.Helper()
 	var buffer bytes.Buffer
@@ -73,7 +73,7 @@
 	return buffer.Bytes()
 }
 
-// readAll reads in the background and returns what was read, and then why reading ended.
+// readAll reads in the background. It returns a channel for the messages and one for the error with which Read returns.
 func readAll(c *Connection) (messages <-chan string, ended <-chan error) {
 	read, end := make(chan string, 2*RingSize), make(chan error, 1)
 	go func() {
@@ -82,24 +82,24 @@
 	return read, end
 }
 
-func next[T any](t *testing.T, from <-chan T) T {
+func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case item := <-from:
 		return item
-	case <-time.After(longest):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("nothing received before the timeout")
 		panic("unreachable")
 	}
 }
 
-// TestMessagesAreReadFromAnyPieces writes frames in pieces of every size up to some bytes, so that lengths and messages are broken anywhere.
+// TestMessagesAreReadFromAnyPieces writes frames in pieces of 1 to 7 bytes, so that both length prefixes and messages are split across reads.
 func TestMessagesAreReadFromAnyPieces(t *testing.T) {
 	long := strings.Repeat("x", 3*bufferSize)
 	data := framed(t, text("a"), text(""), text(strings.Repeat("b", 200)), text(long), text("c"))
 	for size := 1; size <= 7; size++ {
 		ours, theirs := net.Pipe()
-		counter := &tally{}
+		counter := &receiveCounter{}
 		c := New(ours, counter)
 		messages, ended := readAll(c)
 		for rest := data; len(rest) > 0; {
@@ -110,12 +110,12 @@
 			rest = rest[n:]
 		}
 		for _, want := range []string{"a", "", strings.Repeat("b", 200), long, "c"} {
-			if got := next(t, messages); got != want {
+			if got := receive(t, messages); got != want {
 				t.Fatalf("pieces of %d bytes: got %.20q, want %.20q", size, got, want)
 			}
 		}
 		_ = theirs.Close()
-		if err := next(t, ended); !errors.Is(err, io.EOF) {
+		if err := receive(t, ended); !errors.Is(err, io.EOF) {
 			t.Errorf("pieces of %d bytes: ended with %v, want the end of the stream", size, err)
 		}
 		if counter.messages != 5 || counter.bytes != len(data) {
@@ -124,7 +124,8 @@
 	}
 }
 
-// TestABrokenFrameEndsTheConnection sends frames that no peer writes, and one that the connection's end cuts.
+// TestABrokenFrameEndsTheConnection sends malformed frames, and frames truncated by the end of the connection. Read must return an error, not
+// io.EOF, and deliver no message from them.
 func TestABrokenFrameEndsTheConnection(t *testing.T) {
 	whole := framed(t, text("whole"))
 	tooLarge := framed(t, text(strings.Repeat("x", maxMessage)))
@@ -144,14 +145,14 @@
 		if strings.HasPrefix(name, "cut") {
 			_ = theirs.Close()
 		}
-		if got := next(t, messages); got != "whole" {
+		if got := receive(t, messages); got != "whole" {
 			t.Errorf("%s: got %q before", name, got)
 		}
-		err := next(t, ended)
+		err := receive(t, ended)
 		if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), "unable to read from") {
 			t.Errorf("%s: ended with %v", name, err)
 		}
-		next(t, c.Closed())
+		receive(t, c.Closed())
 		if len(messages) > 0 {
 			t.Errorf("%s: got %q", name, <-messages)
 		}
@@ -161,15 +162,16 @@
 func TestTheLargestMessageIsRead(t *testing.T) {
 	ours, theirs := pair(t)
 	messages, _ := readAll(New(ours, uncounted{}))
-	// The message's own length and field take some bytes.
+	// Leave space for the field tag and the length of the string.
 	largest := strings.Repeat("x", maxMessage-16)
 	New(theirs, uncounted{}).Send(text(largest))
-	if got := next(t, messages); got != largest {
+	if got := receive(t, messages); got != largest {
 		t.Errorf("got %d bytes, want %d", len(got), len(largest))
 	}
 }
 
-// TestAPeerThatDoesNotReadEndsTheConnectionInTime fills the network's buffers with fewer messages than the ring holds.
+// TestAPeerThatDoesNotReadEndsTheConnectionInTime fills the socket buffers with fewer messages than the queue holds. The write timeout must
+// close the connection.
 func TestAPeerThatDoesNotReadEndsTheConnectionInTime(t *testing.T) {
 	ours, _ := pair(t)
 	c := New(ours, uncounted{})
@@ -178,27 +180,28 @@
 	for range 64 {
 		c.Send(message)
 	}
-	next(t, c.Closed())
+	receive(t, c.Closed())
 	if took := time.Since(began); took < writeTimeout || !errors.Is(c.cause, os.ErrDeadlineExceeded) {
 		t.Errorf("ended after %s with %v, want the deadline of writes after %s", took, c.cause, writeTimeout)
 	}
 }
 
 func TestMoreMessagesThanTheRingHoldsEndTheConnection(t *testing.T) {
-	// Nothing is written to a pipe that nobody reads.
+	// Writes to a pipe without a reader block.
 	ours, _ := net.Pipe()
 	c := New(ours, uncounted{})
 	large := text(strings.Repeat("x", bufferSize))
 	for range RingSize + 2 {
 		c.Send(large)
 	}
-	next(t, c.Closed())
+	receive(t, c.Closed())
 	if !errors.Is(c.cause, errSlowPeer) {
 		t.Errorf("ended with %v, want %v", c.cause, errSlowPeer)
 	}
 }
 
-// TestTrySendLeavesRoom sends to a peer that does not read until there is no room, and then what must be sent.
+// TestTrySendLeavesRoom calls TrySend until it fails, with a peer that does not read. Send must still queue messages without closing the
+// connection.
 func TestTrySendLeavesRoom(t *testing.T) {
 	ours, _ := net.Pipe()
 	c := New(ours, uncounted{})
@@ -224,7 +227,7 @@
 	}
 }
 
-// TestFinishWritesWhatIsQueued finishes a connection to which the peer goes on sending.
+// TestFinishWritesWhatIsQueued finishes a connection on which messages of the peer are still unread. All queued messages must reach the peer.
 func TestFinishWritesWhatIsQueued(t *testing.T) {
 	for range 20 {
 		ours, theirs := pair(t)
@@ -237,18 +240,18 @@
 			c.Send(text("x"))
 		}
 		c.Finish()
-		if err := next(t, peerEnded); !errors.Is(err, io.EOF) {
+		if err := receive(t, peerEnded); !errors.Is(err, io.EOF) {
 			t.Fatalf("the peer's end is %v, want the end of the stream", err)
 		}
 		if len(messages) != count {
 			t.Fatalf("%d messages arrived, want %d", len(messages), count)
 		}
-		next(t, ended)
-		next(t, c.Closed())
+		receive(t, ended)
+		receive(t, c.Closed())
 	}
 }
 
-// TestFinishEndsWithASilentPeer finishes connections to a peer that neither reads nor closes its end.
+// TestFinishEndsWithASilentPeer finishes connections to a peer that neither reads nor closes its end. Finish must return within its timeout.
 func TestFinishEndsWithASilentPeer(t *testing.T) {
 	for _, waiting := range []int{0, RingSize / 2} {
 		ours, _ := pair(t)
@@ -263,7 +266,7 @@
 		if took := time.Since(began); took > 10*finishTimeout {
 			t.Errorf("%d messages waiting: took %s, want %s", waiting, took, finishTimeout)
 		}
-		next(t, ended)
+		receive(t, ended)
 	}
 }
 
--- a/internal/stream/reader.go
+++ b/internal/stream/reader.go
@@ -5,20 +5,20 @@
 
 import "bufio"
 
-// countingReader counts the bytes that are read from it.
+// countingReader is a bufio.Reader that counts the bytes read from it.
 type countingReader struct {
 	*bufio.Reader
 	bytes int
 }
 
-// Read reads and counts.
+// Read implements io.Reader.
 func (r *countingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	r.bytes += n
 	return n, err
 }
 
-// ReadByte reads and counts one byte.
+// ReadByte implements io.ByteReader.
 func (r *countingReader) ReadByte() (byte, error) {
 	b, err := r.Reader.ReadByte()
 	if err == nil {
@@ -27,7 +27,7 @@
 	return b, err
 }
 
-// take returns the number of bytes since the last call.
+// take returns the number of bytes read since the last call.
 func (r *countingReader) take() int {
 	bytes := r.bytes
 	r.bytes = 0
