--- a/internal/session/accept_test.go
+++ b/internal/session/accept_test.go
@@ -14,7 +14,7 @@
 	"sailhead/internal/runner"
 )
 
-// failingListener fails a number of times, as while the process has too many open files.
+// failingListener is a listener whose first calls of Accept fail with EMFILE, as when the process has too many open files.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -41,17 +41,17 @@
 		t.Fatal(err)
 	}
 	defer entry.Close()
-	if _, ok := next(t, events).(runner.SessionOpened); !ok {
+	if _, ok := receive(t, events).(runner.SessionOpened); !ok {
 		t.Fatal("no session was opened")
 	}
 }
 
 func TestEvacuationsArriveUnchanged(t *testing.T) {
 	entry, _, _, events := pair(t)
-	next(t, events)
+	receive(t, events)
 	state := evacuation.New(9, []evacuation.Change{{Zone: "a", Revision: 4, IsEvacuated: true}, {Zone: "b", Revision: 12}})
 	entry.SendEvacuations(state)
-	if got := next(t, events).(runner.EvacuationsReceived); !got.State.Equal(state) {
+	if got := receive(t, events).(runner.EvacuationsReceived); !got.State.Equal(state) {
 		t.Fatalf("got %+v, want %+v", got.State, state)
 	}
 }
--- a/internal/session/agent.go
+++ b/internal/session/agent.go
@@ -22,28 +22,27 @@
 	"sailhead/internal/wire"
 )
 
-// failuresPerSecond bounds the log lines about sessions that failed: half of the sessions of an agent of a large site.
+// failuresPerSecond limits the log lines about failed sessions. It is half the number of sessions of an agent at a large site.
 const failuresPerSecond = 5
 
-// Server is the agent's end of all its sessions. It is safe for concurrent use.
+// Server is the agent's side of its sessions. It is safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	traffic  *Traffic
 	post     func(runner.Event)
 	logger   log.Logger
-	// incarnation identifies the agent's process. It goes to the entries with each ping.
+	// incarnation identifies the agent's process. It is sent to the entries with each ping.
 	incarnation int64
-	// started is the origin of the times in pings.
+	// started is the reference for the times in pings.
 	started time.Time
-	// lastID is the ID of the latest session.
+	// lastID is the ID of the most recent session.
 	lastID atomic.Uint64
 	mu     sync.Mutex
 	open   map[runner.SessionID]*stream.Connection
 }
 
-// NewServer accepts sessions on the listener and passes the entries' messages to post as events; those of one session are
-// posted in order. incarnation identifies the agent's process, and traffic counts
-// the messages. The clean-up closes the listener and all sessions.
+// NewServer accepts sessions on the listener and passes the entries' messages to post as events. The events of one session are posted in
+// order. incarnation identifies the agent's process, and traffic counts the messages. The clean-up closes the listener and all sessions.
 func NewServer(listener net.Listener, incarnation int64, traffic *Traffic, post func(runner.Event), logger log.Logger) (*Server, func()) {
 	s := &Server{
 		listener: listener, post: post, logger: logging.NewLimited(logger, failuresPerSecond),
@@ -53,11 +52,11 @@
 	return s, s.close
 }
 
-// acceptRetryDelay is the pause after a connection could not be accepted, as while the process has too many open files. It is
-// within the time that an entry takes to dial again.
+// acceptRetryDelay is the delay after a failed Accept, such as one with too many open files. It is shorter than the redial delay of an
+// entry.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// accept serves the sessions that entries open until the listener is closed.
+// accept accepts and serves sessions until the listener is closed.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -74,7 +73,7 @@
 }
 
 func (s *Server) close() {
-	// The listener may have been closed before, and the process is stopping.
+	// An error is ignored, as the listener may be closed already and the process is stopping.
 	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +82,7 @@
 	}
 }
 
-// serve posts the messages of one session as events, and then its end.
+// serve posts the messages of a session as events, followed by SessionClosed.
 func (s *Server) serve(c *stream.Connection) {
 	id := runner.SessionID(s.lastID.Add(1))
 	s.add(id, c)
@@ -94,7 +93,7 @@
 	s.post(runner.SessionClosed{Session: id})
 }
 
-// logEnd logs why a session failed. A session that either end closed in order is not a failure.
+// logEnd logs why a session failed. An orderly close by either end is not a failure.
 func (s *Server) logEnd(id runner.SessionID, err error) {
 	if errors.Is(err, io.EOF) || errors.Is(err, stream.ErrClosed) {
 		return
@@ -121,7 +120,7 @@
 	return s.open[id]
 }
 
-// handle posts a message of an entry as an event. Messages that this version does not know are ignored.
+// handle posts a message from an entry as an event. Messages of types unknown to this version are ignored.
 func (s *Server) handle(id runner.SessionID, payload *receivedPayload, m *sessionpb.FromEntry) {
 	switch message := m.Message.(type) {
 	case *sessionpb.FromEntry_Hello:
@@ -129,7 +128,7 @@
 	case *sessionpb.FromEntry_Pong:
 		s.post(runner.PongReceived{Session: id, Sent: s.started.Add(time.Duration(message.Pong.Time))})
 	case *sessionpb.FromEntry_Start:
-		payload.complete(message.Start)
+		payload.restoreRepeated(message.Start)
 		s.post(runner.StartRequested{Session: id, Number: message.Start.Number, Task: unpackStart(message.Start)})
 	case *sessionpb.FromEntry_Reserve:
 		s.post(runner.ReservationRequested{Session: id, Reservation: unpackReservation(message.Reserve)})
@@ -144,8 +143,8 @@
 	}
 }
 
-// Send carries out an effect that concerns a session: it queues the message or closes the connection. It does not block.
-// Effects on sessions that have ended, and those that concern the worker, are ignored.
+// Send executes an effect that concerns a session: it queues the message or closes the connection. It does not block. Effects on sessions
+// that have ended, and those that concern the worker, are ignored.
 func (s *Server) Send(effect runner.Effect) {
 	switch e := effect.(type) {
 	case runner.SendPing:
--- a/internal/session/convert.go
+++ b/internal/session/convert.go
@@ -16,7 +16,7 @@
 	"sailhead/internal/worker"
 )
 
-// hundred converts what a worker measures of itself to hundredths, of which parts are dropped.
+// hundred converts the ratios measured on a worker to hundredths. Unlike wire.Hundredths, the conversion rounds down.
 const hundred = 100
 
 func packStart(number uint64, t runner.Task) *sessionpb.Start {
@@ -41,8 +41,8 @@
 	}
 }
 
-// slack returns the time until StartBy in milliseconds. Times do not go over the wire, as clocks differ; the time of the
-// message on its way is neglected.
+// slack returns the time until StartBy in milliseconds. Relative times are sent because the clocks of the processes differ; the latency of the
+// message is neglected.
 func slack(u runner.Urgency) int32 {
 	return int32(max(math.MinInt32, min(clock.Until(u.StartBy).Milliseconds(), math.MaxInt32)))
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// packWorker leaves out the record's clock, sequence and state: entries learn from the load whether it accepts tasks.
+// packWorker omits the record's clock, sequence and state: entries learn from Load whether the worker accepts tasks.
 func packWorker(r worker.Record) *sessionpb.FromAgent {
 	return &sessionpb.FromAgent{Message: &sessionpb.FromAgent_Worker{Worker: &sessionpb.Worker{
 		Id: r.ID, StartedMs: r.StartedMillis, Service: r.Service, Zone: r.Zone, Labels: r.Labels,
--- a/internal/session/entry.go
+++ b/internal/session/entry.go
@@ -18,46 +18,46 @@
 	"sailhead/internal/worker"
 )
 
-// dialTimeout bounds the opening of a connection: a hundred round trips between availability zones, and four attempts in the time after
-// which an agent counts as lost.
+// dialTimeout limits the time to open a connection. It allows for a hundred round trips between availability zones, and for four attempts
+// before an agent is considered lost.
 const dialTimeout = 250 * time.Millisecond
 
 // AgentHandler receives the messages of an agent on a session, from one goroutine and in order.
 type AgentHandler interface {
-	// MessageReceived is called for every message, before the method for its type.
+	// MessageReceived is called for each message, before the method for its type.
 	MessageReceived()
 	// Incarnation is called with each ping; the value identifies the agent's process.
 	Incarnation(int64)
 	// Worker is called with the record of the agent's worker when the session opens and when the record changes.
 	Worker(worker.Record)
-	// Load is called with the load of the worker. It includes the starts of the session up to the number handled.
+	// Load is called with the load of the worker. It includes the starts of the session up to and including number handled.
 	Load(handled uint64, load runner.Load)
 	// Update is called with the state of a run.
 	Update(runner.Update)
-	// Offer is called with resources that the agent keeps for the entry until AnswerOffer.
+	// Offer is called with resources that the agent reserves for the entry until AnswerOffer.
 	Offer(runner.Offer)
-	// Crash is called with a crash of the agent's worker, more than once for one crash.
+	// Crash is called with a crash of the agent's worker, possibly more than once per crash.
 	Crash(runner.Crash)
 }
 
-// AgentConn is an entry's end of a session. Its methods do not block, except Serve, and are safe for concurrent use.
-// What is sent after the session has ended is dropped.
+// AgentConn is an entry's side of a session. Its methods are safe for concurrent use and, except for Serve, do not block. Messages sent after
+// the session has ended are dropped.
 type AgentConn struct {
 	connection *stream.Connection
-	// starting orders the starts, as each may refer to the one before. It guards payload but for mayRepeat.
-	starting sync.Mutex
-	payload  sentPayload
+	// startMu keeps starts in order, as each may refer to the payload of its predecessor. It guards payload, except for mayRepeat.
+	startMu sync.Mutex
+	payload sentPayload
 }
 
-// Entry is what an entry tells an agent of itself.
+// Entry identifies an entry to an agent.
 type Entry struct {
 	Name string
 	// Zone is its availability zone.
 	Zone string
 }
 
-// Dial opens a session of an entry with the agent at an address, HOST:PORT. traffic counts its messages. It returns an error if the connection
-// is not open within 250 ms.
+// Dial opens a session of an entry with the agent at an address of the form HOST:PORT. traffic counts its messages. Dial returns an error if the
+// connection cannot be opened within 250 ms.
 func Dial(ctx context.Context, address string, entry Entry, traffic *Traffic) (*AgentConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -69,8 +69,8 @@
 	return s, nil
 }
 
-// Serve passes the agent's messages to the handler and answers its pings until the session ends. It always returns an
-// error: the reason for the end.
+// Serve passes the agent's messages to the handler and answers its pings until the session ends. It returns the reason for the end, which is
+// never nil.
 func (s *AgentConn) Serve(handler AgentHandler) error {
 	return stream.Read(s.connection, func(m *sessionpb.FromAgent) {
 		handler.MessageReceived()
@@ -78,7 +78,7 @@
 	})
 }
 
-// handle passes a message to the handler. Messages that this version does not know are ignored.
+// handle passes a message to the handler. Messages of types unknown to this version are ignored.
 func (s *AgentConn) handle(handler AgentHandler, m *sessionpb.FromAgent) {
 	switch message := m.Message.(type) {
 	case *sessionpb.FromAgent_Ping:
@@ -98,12 +98,12 @@
 	}
 }
 
-// Start requests a run of a task. number counts the starts of the session from one.
+// Start requests a run of a task. Starts are numbered consecutively within a session, from one.
 func (s *AgentConn) Start(number uint64, task runner.Task) {
 	start := packStart(number, task)
-	s.starting.Lock()
-	defer s.starting.Unlock()
-	s.payload.shorten(start)
+	s.startMu.Lock()
+	defer s.startMu.Unlock()
+	s.payload.omitRepeated(start)
 	s.connection.Send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Start{Start: start}})
 }
 
@@ -112,18 +112,18 @@
 	s.connection.Send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Stop{Stop: &sessionpb.Stop{Task: name}}})
 }
 
-// Reserve asks for resources for tasks of a job, or cancels an earlier request.
+// Reserve requests resources for tasks of a job, or cancels an earlier request.
 func (s *AgentConn) Reserve(reservation runner.Reservation) {
 	s.connection.Send(packReservation(reservation))
 }
 
-// AnswerOffer answers an offer, after the starts that use it.
+// AnswerOffer answers an offer. It must be called after the starts that use the offer.
 func (s *AgentConn) AnswerOffer(offer runner.OfferID) {
 	answer := &sessionpb.OfferAnswer{Offer: uint64(offer)}
 	s.connection.Send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_OfferAnswer{OfferAnswer: answer}})
 }
 
-// SendEvacuations tells the agent what the entry knows of the evacuated availability zones.
+// SendEvacuations sends the evacuated availability zones known to the entry.
 func (s *AgentConn) SendEvacuations(state evacuation.State) {
 	s.connection.Send(packEvacuations(state))
 }
@@ -134,7 +134,7 @@
 	s.connection.Send(&sessionpb.FromEntry{Message: &sessionpb.FromEntry_Noted{Noted: acknowledgement}})
 }
 
-// Close closes the session without sending the messages that wait.
+// Close closes the session without sending the queued messages.
 func (s *AgentConn) Close() {
 	s.connection.Close(stream.ErrClosed)
 }
--- a/internal/session/payload.go
+++ b/internal/session/payload.go
@@ -9,18 +9,18 @@
 	"sailhead/internal/session/sessionpb"
 )
 
-// The tasks of a job have the same payload, and several of them go to one agent in a row. A start whose payload is that of the start
-// before it on the session leaves it out. The payloads are most of what an entry sends.
+// Payloads make up most of the data that an entry sends. The tasks of a job have the same payload, and several of them are often sent to one
+// agent in succession, so a start omits its payload if it equals that of the previous start on the session.
 
-// sentPayload is the payload of the latest start that an entry has sent on a session.
+// sentPayload is the payload of the last start that an entry sent on a session.
 type sentPayload struct {
-	// mayRepeat is set once the agent has told that it knows starts without their payload.
+	// mayRepeat is set once the agent has announced that it supports starts with RepeatsPayload.
 	mayRepeat atomic.Bool
 	payload   string
 }
 
-// shorten leaves out the payload of a start that is sent next if the agent has it.
-func (p *sentPayload) shorten(start *sessionpb.Start) {
+// omitRepeated removes the payload from the next start to be sent if the agent already has it.
+func (p *sentPayload) omitRepeated(start *sessionpb.Start) {
 	isRepeated := start.Payload != "" && start.Payload == p.payload
 	if isRepeated && p.mayRepeat.Load() {
 		start.Payload = ""
@@ -30,13 +30,13 @@
 	p.payload = start.Payload
 }
 
-// receivedPayload is the payload of the latest start that an agent has received on a session. Only the session's reading goroutine uses it.
+// receivedPayload is the payload of the last start that an agent received on a session. Only the session's reading goroutine uses it.
 type receivedPayload struct {
 	payload string
 }
 
-// complete adds the payload to a start that leaves it out.
-func (p *receivedPayload) complete(start *sessionpb.Start) {
+// restoreRepeated sets the payload of a start from which it was omitted.
+func (p *receivedPayload) restoreRepeated(start *sessionpb.Start) {
 	if start.RepeatsPayload {
 		start.Payload = p.payload
 		return
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -22,7 +22,7 @@
 	"sailhead/internal/worker"
 )
 
-// recorder records the messages of an agent.
+// recorder is an AgentHandler that records the messages of an agent.
 type recorder struct {
 	messages    chan any
 	incarnation *atomic.Int64
@@ -38,7 +38,7 @@
 func (h recorder) Offer(offer runner.Offer)    { h.messages <- offer }
 func (h recorder) Crash(crash runner.Crash)    { h.messages <- crash }
 
-func next[T any](t *testing.T, messages <-chan T) T {
+func receive[T any](t *testing.T, messages <-chan T) T {
 	t.Helper()
 	select {
 	case message := <-messages:
@@ -70,7 +70,7 @@
 
 func TestMessagesArriveUnchanged(t *testing.T) {
 	entry, server, h, events := pair(t)
-	opened := next(t, events).(runner.SessionOpened)
+	opened := receive(t, events).(runner.SessionOpened)
 	if opened.Entry != "entry-1" || opened.Zone != "zone-a" {
 		t.Fatalf("got %+v, want entry-1 of zone-a", opened)
 	}
@@ -82,12 +82,12 @@
 	}
 	entry.Start(9, task)
 	entry.Stop("j.0.0.1")
-	started := next(t, events).(runner.StartRequested)
+	started := receive(t, events).(runner.StartRequested)
 	checkStartBy(t, &started.Task.Urgency, &task.Urgency)
 	if want := (runner.StartRequested{Session: opened.Session, Number: 9, Task: task}); !reflect.DeepEqual(started, want) {
 		t.Fatalf("got %+v, want %+v", started, want)
 	}
-	if got, want := next(t, events), (runner.StopRequested{Session: opened.Session, Name: "j.0.0.1"}); got != want {
+	if got, want := receive(t, events), (runner.StopRequested{Session: opened.Session, Name: "j.0.0.1"}); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	reservation := runner.Reservation{
@@ -97,12 +97,12 @@
 	}
 	entry.Reserve(reservation)
 	entry.AnswerOffer(6)
-	reserved := next(t, events).(runner.ReservationRequested)
+	reserved := receive(t, events).(runner.ReservationRequested)
 	checkStartBy(t, &reserved.Reservation.Urgency, &reservation.Urgency)
 	if want := (runner.ReservationRequested{Session: opened.Session, Reservation: reservation}); reserved != want {
 		t.Fatalf("got %+v, want %+v", reserved, want)
 	}
-	if got, want := next(t, events), (runner.OfferAnswered{Session: opened.Session, Offer: 6}); got != want {
+	if got, want := receive(t, events), (runner.OfferAnswered{Session: opened.Session, Offer: 6}); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	record := worker.Record{ID: "i", Service: "s", Zone: "z", Capacity: worker.Resources{CPU: 1, Memory: 2, GPU: 3}, Labels: []string{"a"}}
@@ -119,27 +119,28 @@
 	}}
 	server.Send(runner.SendCrash{Session: opened.Session, Crash: crash})
 	for _, want := range []any{record, runner.SendLoad{Handled: 9, Load: load}, update, offer, crash} {
-		if got := next(t, h.messages); !reflect.DeepEqual(got, want) {
+		if got := receive(t, h.messages); !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %+v, want %+v", got, want)
 		}
 	}
 }
 
-// checkStartBy checks that a time has arrived within the resolution of the wire, and makes both the same.
+// checkStartBy checks that StartBy arrived within the resolution of the protocol, and then sets it to the expected value for the comparison
+// that follows.
 func checkStartBy(t *testing.T, got, want *runner.Urgency) {
 	t.Helper()
 	if off := got.StartBy.Sub(want.StartBy); off < -2*time.Millisecond || off > 5*time.Second {
-		t.Errorf("the latest start is off by %s", off)
+		t.Errorf("StartBy is off by %s", off)
 	}
 	got.StartBy = want.StartBy
 }
 
 func TestPongCarriesTimeOfPing(t *testing.T) {
 	_, server, entrySide, events := pair(t)
-	opened := next(t, events).(runner.SessionOpened)
+	opened := receive(t, events).(runner.SessionOpened)
 	sent := clock.Now().Add(-time.Minute)
 	server.Send(runner.SendPing{Session: opened.Session, Time: sent})
-	pong := next(t, events).(runner.PongReceived)
+	pong := receive(t, events).(runner.PongReceived)
 	if got := entrySide.incarnation.Load(); got != 77 {
 		t.Errorf("incarnation %d, want 77", got)
 	}
@@ -150,9 +151,9 @@
 
 func TestClosedSessionIsReported(t *testing.T) {
 	entry, server, _, events := pair(t)
-	opened := next(t, events).(runner.SessionOpened)
+	opened := receive(t, events).(runner.SessionOpened)
 	entry.Close()
-	if got := next(t, events); got != (runner.SessionClosed{Session: opened.Session}) {
+	if got := receive(t, events); got != (runner.SessionClosed{Session: opened.Session}) {
 		t.Fatalf("%+v", got)
 	}
 	// Messages on a closed session are dropped.
--- a/internal/session/traffic.go
+++ b/internal/session/traffic.go
@@ -35,7 +35,7 @@
 	return [...]string{"other", "pong", "start", "stop", "reserve", "offer_answer", "ping", "load", "update", "offer"}[k]
 }
 
-// kindOf returns the kind of a message. What is rare is kindOther.
+// kindOf returns the kind of a message. Rare messages are counted as kindOther.
 func kindOf(message proto.Message) kind {
 	switch m := message.(type) {
 	case *sessionpb.FromEntry:
@@ -79,13 +79,13 @@
 	}
 }
 
-// Traffic counts the messages of all sessions of a process, and their bytes without those of the network's own headers. It is safe for
-// concurrent use.
+// Traffic counts the messages of all sessions of a process and their bytes, excluding network protocol headers. It is safe for concurrent
+// use.
 type Traffic struct {
 	sent, received [kinds]volume
 }
 
-// NewTraffic returns counters that the metrics show.
+// NewTraffic returns counters that are exported in the metrics.
 func NewTraffic(metrics *metric.Set) *Traffic {
 	t := new(Traffic)
 	metrics.Show(metric.SessionSent, func() any { return volumes(&t.sent) })
@@ -108,13 +108,13 @@
 	v.bytes.Add(int64(bytes))
 }
 
-// Volume is how much there was of one kind of message.
+// Volume is the number of messages of one kind and of their bytes.
 type Volume struct {
 	Messages int64 `json:"messages"`
 	Bytes    int64 `json:"bytes"`
 }
 
-// volumes returns how much there was, by the kind of message.
+// volumes returns the volumes by kind of message, without kinds that did not occur.
 func volumes(of *[kinds]volume) map[string]Volume {
 	all := make(map[string]Volume)
 	for k := range of {
