--- a/internal/wire/number.go
+++ b/internal/wire/number.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// hundred converts factors and shares to and from hundredths.
+// hundred is the factor between ratios and hundredths.
 const hundred = 100
 
-// Count returns n as it is on the wire; a value out of range is set to the nearest one.
+// Count converts n to its wire type. A value out of range is clamped.
 func Count(n int) uint32 {
 	return uint32(max(0, min(n, math.MaxUint32)))
 }
 
-// Millis returns a duration as it is on the wire; parts of a millisecond are dropped.
+// Millis converts a duration to whole milliseconds. Fractions are truncated.
 func Millis(d time.Duration) uint32 {
 	return Count(int(d.Milliseconds()))
 }
 
-// Duration is the inverse of Millis.
+// Duration converts milliseconds to a duration.
 func Duration(millis uint32) time.Duration {
 	return time.Duration(millis) * time.Millisecond
 }
 
-// Hundredths returns a factor or share as it is on the wire.
+// Hundredths converts a ratio to hundredths, rounded to the nearest integer.
 func Hundredths(factor float64) uint32 {
 	return Count(int(math.Round(factor * hundred)))
 }
 
-// Fraction is the inverse of Hundredths.
+// Fraction converts hundredths to a ratio.
 func Fraction(hundredths uint32) float64 {
 	return float64(hundredths) / hundred
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package wire converts what sessions between entries and agents, and exchanges and hand-overs between entries, have in common.
+// Package wire converts the types that are common to the protocols between processes: sessions between entries and agents, and exchanges and
+// hand-overs between entries.
 package wire
 
 import (
@@ -10,7 +11,7 @@
 	"sailhead/internal/wire/wirepb"
 )
 
-// PackChanges returns the changes of the availability zones that a state holds.
+// PackChanges converts the zone changes of an evacuation state to messages.
 func PackChanges(state evacuation.State) []*wirepb.ZoneChange {
 	var messages []*wirepb.ZoneChange
 	for _, c := range state.Changes() {
@@ -19,7 +20,7 @@
 	return messages
 }
 
-// UnpackEvacuations returns the state that changes make, with the revision of the store at the latest full reading.
+// UnpackEvacuations converts the messages of PackChanges to an evacuation state. asOf is the revision of the store at the last full read.
 func UnpackEvacuations(asOf int64, messages []*wirepb.ZoneChange) evacuation.State {
 	var changes []evacuation.Change
 	for _, m := range messages {
@@ -28,7 +29,7 @@
 	return evacuation.New(evacuation.Revision(asOf), changes)
 }
 
-// PackRuns returns the messages of runs that were on a worker when it crashed.
+// PackRuns converts the runs on a worker at the time of a crash to messages.
 func PackRuns(runs []runner.CrashedRun) []*wirepb.CrashedRun {
 	var messages []*wirepb.CrashedRun
 	for _, run := range runs {
@@ -40,7 +41,7 @@
 	return messages
 }
 
-// UnpackRuns returns the runs of messages that PackRuns made.
+// UnpackRuns converts the messages of PackRuns to runs.
 func UnpackRuns(messages []*wirepb.CrashedRun) []runner.CrashedRun {
 	var runs []runner.CrashedRun
 	for _, m := range messages {
