--- a/internal/cluster/clusterpb/cluster.twirp.go
+++ b/internal/cluster/clusterpb/cluster.twirp.go
@@ -33,7 +33,7 @@
 
 // Cluster is served by every entry.
 type Cluster interface {
-	// Exchange sends the view of an entry to another and returns the view of that one, without members if both know the same.
+	// Exchange sends an entry's view to another entry and returns the view of the latter, without members if both have the same.
 	Exchange(context.Context, *View) (*View, error)
 
 	// Announce sends the record of the calling process to an entry.
--- a/internal/cluster/crash.go
+++ b/internal/cluster/crash.go
@@ -12,15 +12,15 @@
 	"sailhead/internal/worker"
 )
 
-// Crashes of workers spread with each exchange, so that an entry without a session with the agent knows them too when a job
-// comes again there.
+// Crashes of workers are propagated with each exchange, so that an entry without a session with the agent knows them when a job is retried
+// there.
 const (
-	// crashSpreadTime is how long an entry passes a crash on after it heard of it. An entry exchanges with a random other one about twice a
-	// second and with as many that ask it, so 55 entries have all heard of a crash after about ten exchanges.
-	crashSpreadTime = 5 * time.Second
-	// crashLifetime is how long a crash is remembered, so that it is not taken for a new one: longer than the slowest entry passes it on.
-	crashLifetime = 4 * crashSpreadTime
-	// maxCrashes bounds the crashes that are remembered and sent: about 300 bytes each, 10 KB in an exchange at most.
+	// crashGossipPeriod is how long an entry propagates a crash after learning of it. An entry initiates about two exchanges per second with
+	// random other entries and answers as many, so a crash reaches all of 55 entries after about ten exchanges.
+	crashGossipPeriod = 5 * time.Second
+	// crashLifetime is how long a crash is stored to recognise duplicates. It is longer than the slowest entry propagates the crash.
+	crashLifetime = 4 * crashGossipPeriod
+	// maxCrashes limits the number of crashes stored and sent. At about 300 bytes each, an exchange carries at most 10 KB of them.
 	maxCrashes = 32
 )
 
@@ -39,67 +39,67 @@
 
 func (c Crash) key() crashKey { return crashKey{agent: c.Agent, incarnation: c.Incarnation} }
 
-// heardCrash is a crash with the time at which this process heard of it.
-type heardCrash struct {
+// receivedCrash is a crash with the time at which this process learned of it.
+type receivedCrash struct {
 	crash Crash
 	at    time.Time
 }
 
-// crashes are those that a process has heard of. The zero value is not usable; its owner guards it.
-type crashes map[crashKey]heardCrash
+// crashes holds the recent crashes known to a process. The owner must initialise it and guard it against concurrent use.
+type crashes map[crashKey]receivedCrash
 
-// add stores a crash, and returns false if it was known. The oldest one goes if there are too many.
+// add stores a crash, and returns false if it was known. If there are maxCrashes already, it evicts the oldest.
 func (c crashes) add(now time.Time, crash Crash) bool {
-	c.forgetBefore(now.Add(-crashLifetime))
+	c.removeBefore(now.Add(-crashLifetime))
 	if _, ok := c[crash.key()]; ok {
 		return false
 	}
 	if len(c) >= maxCrashes {
-		c.forgetOldest()
+		c.evictOldest()
 	}
-	c[crash.key()] = heardCrash{crash: crash, at: now}
+	c[crash.key()] = receivedCrash{crash: crash, at: now}
 	return true
 }
 
-func (c crashes) forgetBefore(limit time.Time) {
-	for key, heard := range c {
-		if heard.at.Before(limit) {
+func (c crashes) removeBefore(limit time.Time) {
+	for key, received := range c {
+		if received.at.Before(limit) {
 			delete(c, key)
 		}
 	}
 }
 
-func (c crashes) forgetOldest() {
+func (c crashes) evictOldest() {
 	var oldest crashKey
-	for key, heard := range c {
-		if first, ok := c[oldest]; !ok || heard.at.Before(first.at) {
+	for key, received := range c {
+		if first, ok := c[oldest]; !ok || received.at.Before(first.at) {
 			oldest = key
 		}
 	}
 	delete(c, oldest)
 }
 
-// messages returns the crashes that are passed on at a time.
+// messages returns the messages for the crashes that are still propagated at the given time.
 func (c crashes) messages(now time.Time) []*clusterpb.Crash {
 	var messages []*clusterpb.Crash
-	for _, heard := range c {
-		if now.Sub(heard.at) < crashSpreadTime {
-			messages = append(messages, heard.crash.message(now.Sub(heard.at)))
+	for _, received := range c {
+		if now.Sub(received.at) < crashGossipPeriod {
+			messages = append(messages, received.crash.pack(now.Sub(received.at)))
 		}
 	}
 	return messages
 }
 
-// message returns what exchanges carry of a crash that was heard of some time ago.
-func (c Crash) message(heardAgo time.Duration) *clusterpb.Crash {
-	age := (c.Age + heardAgo).Milliseconds()
+// pack converts a crash to a message. sinceReceived is the time since this process learned of the crash.
+func (c Crash) pack(sinceReceived time.Duration) *clusterpb.Crash {
+	age := (c.Age + sinceReceived).Milliseconds()
 	return &clusterpb.Crash{
 		Agent: c.Agent, Incarnation: c.Incarnation.ID, StartedMs: c.Incarnation.StartedMillis,
 		AgeMs: uint32(age), Runs: wire.PackRuns(c.Runs),
 	}
 }
 
-func crashOf(message *clusterpb.Crash) Crash {
+func unpackCrash(message *clusterpb.Crash) Crash {
 	age := time.Duration(message.GetAgeMs()) * time.Millisecond
 	incarnation := worker.Incarnation{ID: message.GetIncarnation(), StartedMillis: message.GetStartedMs()}
 	return Crash{Agent: message.GetAgent(), Crash: runner.Crash{
@@ -107,7 +107,7 @@
 	}}
 }
 
-// AddCrash stores a crash, which is then passed on for some seconds. It reports whether the crash was not known.
+// AddCrash stores a crash, which exchanges then propagate for crashGossipPeriod. It reports whether the crash was new.
 func (d *Directory) AddCrash(now time.Time, crash Crash) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/cluster/crash_test.go
+++ b/internal/cluster/crash_test.go
@@ -26,48 +26,48 @@
 	own, other := NewDirectory(), NewDirectory()
 	own.AddCrash(clock.Now(), testCrash("own"))
 	other.AddCrash(clock.Now(), testCrash("other"))
-	heard := make(map[string][]Crash)
-	served, closeServed := NewExchanger(other, testListener{crashed: func(c Crash) { heard["other"] = append(heard["other"], c) }})
+	received := make(map[string][]Crash)
+	served, closeServed := NewExchanger(other, testListener{crashed: func(c Crash) { received["other"] = append(received["other"], c) }})
 	defer closeServed()
 	server := httptest.NewServer(served.Handler())
 	defer server.Close()
-	caller, closeCaller := NewExchanger(own, testListener{crashed: func(c Crash) { heard["own"] = append(heard["own"], c) }})
+	caller, closeCaller := NewExchanger(own, testListener{crashed: func(c Crash) { received["own"] = append(received["own"], c) }})
 	defer closeCaller()
 	for range 2 {
 		if err := caller.ExchangeWith(context.Background(), server.Listener.Addr().String()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, crashes := range heard {
+	for _, crashes := range received {
 		for i := range crashes {
 			if crashes[i].Age < 0 || crashes[i].Age > time.Minute {
-				t.Errorf("a crash of now is %s old", crashes[i].Age)
+				t.Errorf("a recent crash has the age %s", crashes[i].Age)
 			}
 			crashes[i].Age = 0
 		}
 	}
 	want := map[string][]Crash{"own": {testCrash("other")}, "other": {testCrash("own")}}
-	if !reflect.DeepEqual(heard, want) {
-		t.Fatalf("heard %+v, want %+v", heard, want)
+	if !reflect.DeepEqual(received, want) {
+		t.Fatalf("received %+v, want %+v", received, want)
 	}
 }
 
-func TestCrashesArePassedOnForSomeTimeAndBounded(t *testing.T) {
+func TestCrashesArePropagatedForALimitedTimeAndBounded(t *testing.T) {
 	known, now := make(crashes), time.Unix(1000, 0)
 	known.add(now, testCrash("first"))
-	now = now.Add(crashSpreadTime)
+	now = now.Add(crashGossipPeriod)
 	if messages := known.messages(now); len(messages) > 0 {
-		t.Errorf("%d crashes are passed on after crashSpreadTime", len(messages))
+		t.Errorf("%d crashes are propagated after crashGossipPeriod", len(messages))
 	}
 	if known.add(now, testCrash("first")) {
-		t.Error("a crash that another entry still passes on is taken for a new one")
+		t.Error("a crash that another entry still propagates is reported as new")
 	}
 	for i := range 2 * maxCrashes {
 		now = now.Add(time.Millisecond)
 		known.add(now, testCrash(fmt.Sprint(i)))
 	}
 	if messages := known.messages(now); len(messages) != maxCrashes {
-		t.Errorf("%d crashes are passed on, want %d", len(messages), maxCrashes)
+		t.Errorf("%d crashes are propagated, want %d", len(messages), maxCrashes)
 	}
 	if _, ok := known[testCrash("first").key()]; ok {
 		t.Error("the oldest crash is kept")
--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -1,13 +1,13 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package cluster holds what a process knows of sailhead's other processes on the users' platform and of the operators'
-// configuration, and exchanges it between entries. It owns the Directory, a copy in memory; the records themselves lie in
-// the platform's store, which the caller reads and writes.
+// Package cluster maintains a process's view of the cluster: the other sailhead processes on the users' platform and the operators'
+// configuration. It also exchanges this view between entries. The package owns the Directory, a copy in memory; the authoritative records are
+// in the platform's store, which the caller reads and writes.
 //
-// If the store does not answer, entries still learn new members and configurations from each other by Exchange, and of
-// new agents by Announce. If another entry dies, exchanges with it fail with an error for the caller to log and repeat; its
-// record stays in the directory, as a member that is not reachable is not known to be gone.
+// While the store is unavailable, entries still learn of new members and configurations from each other through Exchange, and of new agents
+// through Announce. If another entry dies, exchanges with it return an error, which the caller logs before it retries. The record of the entry
+// stays in the directory, as an unreachable member may still be running.
 package cluster
 
 import (
@@ -39,29 +39,29 @@
 	RoleAgent Role = "agent"
 )
 
-// Member is the record of a process of sailhead. It lies in the platform's store as JSON, so its fields, and those of
-// worker.Record, keep their names there.
+// Member is the record of a sailhead process. It is stored in the platform's store as JSON, so the JSON names of its fields and of those of
+// worker.Record must not change.
 type Member struct {
-	// Name is unique among members, and the same after a restart.
+	// Name is unique among members and does not change when the process restarts.
 	Name string `json:"name"`
 	Role Role   `json:"role"`
 	// Zone is the availability zone.
 	Zone string `json:"zone"`
-	// Address is the IP address and port at which other processes reach this one.
+	// Address is the IP address and port on which other processes reach this one.
 	Address string `json:"address"`
-	// Incarnation is the start of the process, in nanoseconds since 1970. Of two records of a name the higher one is
-	// the newer.
+	// Incarnation is the start time of the process, in nanoseconds since 1970. Of two records with the same name, the one with the higher
+	// incarnation is newer.
 	Incarnation int64 `json:"incarnation"`
-	// Worker is what an agent knows of its worker, for the agent to read after a restart; nil for an entry.
+	// Worker is an agent's record of its worker, which the agent reads after a restart. It is nil for an entry.
 	Worker *worker.Record `json:"worker,omitempty"`
 }
 
-// ParseMember decodes a record that Encode made. It returns an error if data is no such JSON, or if it names no process that can be
-// reached. A worker that cannot be used is left out.
+// ParseMember decodes a record encoded by Encode. It returns an error if data is not valid JSON of a member, or lacks what is needed to reach
+// the process. An invalid worker record is removed.
 func ParseMember(data []byte) (Member, error) {
 	var m Member
 	if err := json.Unmarshal(data, &m); err != nil {
-		return Member{}, errors.Wrap(err, "cluster: unable to read a member")
+		return Member{}, errors.Wrap(err, "cluster: unable to decode a member record")
 	}
 	if err := m.check(); err != nil {
 		return Member{}, err
@@ -72,68 +72,67 @@
 	return m, nil
 }
 
-// check returns an error if no process can be reached by the record: it has no name, no address of the form HOST:PORT, a role
-// that is not known, or no incarnation.
+// check returns an error if the record does not identify a reachable process: it lacks a name, an address of the form HOST:PORT, a known role or
+// an incarnation.
 func (m Member) check() error {
 	if m.Name == "" {
 		return errors.New("cluster: a member has no name")
 	}
 	if _, port, err := net.SplitHostPort(m.Address); err != nil || port == "" {
-		return errors.Errorf("cluster: the member %s has no address", m.Name)
+		return errors.Errorf("cluster: the member %s has no address of the form HOST:PORT", m.Name)
 	}
 	if m.Role != RoleEntry && m.Role != RoleAgent {
-		return errors.Errorf("cluster: the member %s has the role %.20q", m.Name, m.Role)
+		return errors.Errorf("cluster: the member %s has the unknown role %.20q", m.Name, m.Role)
 	}
 	if m.Incarnation <= 0 {
-		return errors.Errorf("cluster: the member %s has the incarnation %d", m.Name, m.Incarnation)
+		return errors.Errorf("cluster: the member %s has the invalid incarnation %d", m.Name, m.Incarnation)
 	}
 	return nil
 }
 
 // Encode returns the member as JSON for the platform's store.
 func (m Member) Encode() []byte {
-	// Marshal fails on channels, functions, cycles and special floats only; Member and worker.Record have none.
+	// Marshal fails only for channels, functions, cycles, NaN and infinity, none of which occur in Member and worker.Record.
 	data, _ := json.Marshal(m)
 	return data
 }
 
-// hash returns a hash of what exchanges carry of the member.
+// hash returns a hash of the fields that exchanges transfer.
 func (m Member) hash() uint64 {
 	incarnation := strconv.FormatInt(m.Incarnation, 10)
 	return xxhash.Sum64String(strings.Join([]string{m.Name, string(m.Role), m.Zone, m.Address, incarnation}, "\x00"))
 }
 
-// Directory holds the newest record of each member and the newest configuration document. It is safe for concurrent
-// use.
+// Directory holds the newest record of each member and the newest configuration document. It is safe for concurrent use.
 type Directory struct {
 	mu      sync.Mutex
 	members map[string]Member
-	// removed holds the members that ForgetMember removed, by name, so that AddMember does not add them again when
-	// another entry still lists them.
+	// removed records the members removed by ForgetMember, by name, so that AddMember does not restore them from the view of an entry that still
+	// lists them.
 	removed map[string]removal
-	// digest is the exclusive or of the hashes of all members.
+	// digest is the XOR of the hashes of all members.
 	digest uint64
-	// crashes are the latest crashes of workers.
+	// crashes are the recent crashes of workers.
 	crashes crashes
 	// evacuations are the latest known changes of the availability zones.
 	evacuations evacuation.State
-	// learned is what this entry has learned of the kinds of jobs.
+	// learned holds the statistics of this entry about the kinds of jobs.
 	learned []learned.Kind
-	// version is the version of document, or 0 before the first.
+	// version is the version of document, or 0 if there is none yet.
 	version  uint64
 	document []byte
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced on each change.
 	changed chan struct{}
 }
 
-// removal is the newest incarnation of a removed member and the time of its removal.
+// removal is the newest incarnation of a removed member, and the time of the removal.
 type removal struct {
 	incarnation int64
 	at          time.Time
 }
 
-// removalLifetime is how long a removal is remembered. By then every other entry has removed the member too, as each does ten minutes after
-// it last reached it (forgetAfter of package entry).
+// removalLifetime is how long a removal is stored. By then every other entry has removed the member too, as each does ten minutes after it
+// last reached the member (recordExpiry of package entry).
 const removalLifetime = time.Hour
 
 // NewDirectory returns an empty directory.
@@ -148,14 +147,14 @@
 	return d.changed
 }
 
-// notify closes the channel of Changed. The caller holds mu.
+// notify closes the channel returned by Changed. The caller holds mu.
 func (d *Directory) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// AddMember stores a record unless the directory has one of the same or a later incarnation, or has removed one. It
-// reports whether it stored the record.
+// AddMember stores a record unless the same or a later incarnation is in the directory or was removed from it. It reports whether it stored the
+// record.
 func (d *Directory) AddMember(m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,7 +171,7 @@
 	return true
 }
 
-// AddAnnounced stores a record that came from the member itself. As the member is alive, it is stored even if the
+// AddAnnounced stores a record received from the member itself. As this shows that the member is alive, the record is stored even if its
 // incarnation was removed.
 func (d *Directory) AddAnnounced(m Member) {
 	d.mu.Lock()
@@ -181,7 +180,7 @@
 	d.AddMember(m)
 }
 
-// ForgetMember removes a member, unless the directory now has another incarnation of it.
+// ForgetMember removes a member, unless the directory holds another incarnation of it by now.
 func (d *Directory) ForgetMember(now time.Time, m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -200,7 +199,7 @@
 	d.notify()
 }
 
-// Members returns the members of a role, ordered by name.
+// Members returns the members with the given role, sorted by name.
 func (d *Directory) Members(role Role) []Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -214,8 +213,8 @@
 	return members
 }
 
-// SetConfiguration stores a configuration document unless the directory has one of the same or a higher version. It reports
-// whether it stored the document. The caller has checked the document and must not change it afterwards.
+// SetConfiguration stores a configuration document unless the directory has one of the same or a higher version. It reports whether it stored
+// the document. The caller must have validated the document and must not modify it afterwards.
 func (d *Directory) SetConfiguration(version uint64, document []byte) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -228,21 +227,21 @@
 	return true
 }
 
-// Configuration returns the newest configuration document and its version, or version 0 before the first.
+// Configuration returns the newest configuration document and its version, or version 0 if there is none yet.
 func (d *Directory) Configuration() (version uint64, document []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version, d.document
 }
 
-// summary returns the versions of what the directory holds, without members and document, and the crashes.
+// summary returns a view of the directory without the members and the document.
 func (d *Directory) summary() *clusterpb.View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.summaryView()
 }
 
-// summaryView returns what every view holds. The caller holds mu.
+// summaryView returns a view with the fields that all views contain. The caller holds mu.
 func (d *Directory) summaryView() *clusterpb.View {
 	return &clusterpb.View{
 		Version: d.version, Digest: d.digest, Crashes: d.crashes.messages(clock.Now()),
@@ -251,16 +250,16 @@
 	}
 }
 
-// viewFor returns the directory as a message to another process, whose summary is known: with the members if they differ, and
-// with the document if withDocument is set and the other process has a lower version. Members' workers are left out: only the
-// store keeps them.
+// viewFor returns a view of the directory for another process whose summary is given. It contains the members if the digests differ, and the
+// document if withDocument is set and the other process has a lower version. Workers of members are omitted, as they are kept in the store
+// only.
 func (d *Directory) viewFor(other *clusterpb.View, withDocument bool) *clusterpb.View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	view := d.summaryView()
 	if d.digest != other.Digest {
 		for _, m := range d.members {
-			view.Members = append(view.Members, m.message())
+			view.Members = append(view.Members, m.pack())
 		}
 	}
 	if withDocument && d.version > other.Version {
@@ -269,14 +268,14 @@
 	return view
 }
 
-// message returns what exchanges carry of the member.
-func (m Member) message() *clusterpb.Member {
+// pack converts the member to a message.
+func (m Member) pack() *clusterpb.Member {
 	return &clusterpb.Member{Name: m.Name, Role: string(m.Role), Zone: m.Zone, Address: m.Address, Incarnation: m.Incarnation}
 }
 
-// membersOf returns the members of a view. Records that name no process are skipped without a line: ParseMember keeps them from
-// being read from the store, where they are logged, so no current process sends one.
-func membersOf(view *clusterpb.View) []Member {
+// unpackMembers returns the members of a view. Invalid records are skipped without logging: ParseMember rejects them when they are read from the
+// store, where they are logged, so no current process sends one.
+func unpackMembers(view *clusterpb.View) []Member {
 	var members []Member
 	for _, m := range view.Members {
 		member := Member{Name: m.GetName(), Role: Role(m.GetRole()), Zone: m.GetZone(), Address: m.GetAddress(), Incarnation: m.GetIncarnation()}
@@ -287,9 +286,9 @@
 	return members
 }
 
-// addMembers adds the members of another process's view.
+// addMembers adds the members of a view from another process.
 func (d *Directory) addMembers(view *clusterpb.View) {
-	for _, m := range membersOf(view) {
+	for _, m := range unpackMembers(view) {
 		d.AddMember(m)
 	}
 }
--- a/internal/cluster/directory_test.go
+++ b/internal/cluster/directory_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// testListener accepts documents of one byte, which is their version, and passes the rest on to functions, which may be nil.
+// testListener accepts documents of one byte, which is their version, and passes everything else to functions, which may be nil.
 type testListener struct {
 	crashed   func(Crash)
 	evacuated func(evacuation.State)
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestMembersAreSentOnlyIfTheyDiffer looks at the answers to an entry that knows the same members, to one that does not, and to
-// an entry of an earlier version, which sends its members and no digest.
+// TestMembersAreSentOnlyIfTheyDiffer checks the answers to an entry with the same members, to one with different members, and to an entry of an
+// earlier version, which sends its members and no digest.
 func TestMembersAreSentOnlyIfTheyDiffer(t *testing.T) {
 	own, other := NewDirectory(), NewDirectory()
 	for _, d := range []*Directory{own, other} {
@@ -145,7 +145,7 @@
 	if answer := exchange(own.summary()); len(answer.Members) != 2 {
 		t.Errorf("%d members were sent to an entry that knows others, want all 2", len(answer.Members))
 	}
-	earlier := &clusterpb.View{Members: []*clusterpb.Member{agentOf(2).message()}}
+	earlier := &clusterpb.View{Members: []*clusterpb.Member{agentOf(2).pack()}}
 	if answer := exchange(earlier); len(answer.Members) != 2 || answer.Members[0].Name == answer.Members[1].Name {
 		t.Errorf("%d members were sent to an entry of an earlier version, want all 2", len(answer.Members))
 	}
--- a/internal/cluster/evacuation.go
+++ b/internal/cluster/evacuation.go
@@ -5,8 +5,7 @@
 
 import "sailhead/internal/evacuation"
 
-// MergeEvacuations adds what is known of the evacuated availability zones. It returns the result, and whether it differs from what
-// the directory held.
+// MergeEvacuations merges an evacuation state into the directory. It returns the merged state, and whether it differs from the previous one.
 func (d *Directory) MergeEvacuations(state evacuation.State) (merged evacuation.State, isChanged bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -16,7 +15,7 @@
 	return merged, isChanged
 }
 
-// Evacuations returns the latest known changes of the availability zones.
+// Evacuations returns the current evacuation state.
 func (d *Directory) Evacuations() evacuation.State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/cluster/evacuation_test.go
+++ b/internal/cluster/evacuation_test.go
@@ -17,14 +17,16 @@
 	return evacuation.New(asOf, []evacuation.Change{{Zone: zone, Revision: revision, IsEvacuated: true}})
 }
 
-// TestOneExchangeTellsBothEntriesOfEvacuations lets one entry know of an evacuation and the other that an earlier one was taken back.
-func TestOneExchangeTellsBothEntriesOfEvacuations(t *testing.T) {
+// TestOneExchangeSendsEvacuationsBothWays starts with one entry that knows of an evacuation, and another that knows that it was cancelled
+// and of a second one. One exchange must give both entries the merged state and notify each of them; a repeated
+// exchange must not notify them again.
+func TestOneExchangeSendsEvacuationsBothWays(t *testing.T) {
 	own, other := NewDirectory(), NewDirectory()
 	own.MergeEvacuations(evacuated(3, 2, "a"))
 	other.MergeEvacuations(evacuated(0, 8, "b"))
 	other.MergeEvacuations(evacuation.New(0, []evacuation.Change{{Zone: "a", Revision: 6}}))
-	heard := 0
-	listener := testListener{evacuated: func(evacuation.State) { heard++ }}
+	notifications := 0
+	listener := testListener{evacuated: func(evacuation.State) { notifications++ }}
 	served, closeServed := NewExchanger(other, listener)
 	defer closeServed()
 	server := httptest.NewServer(served.Handler())
@@ -41,26 +43,26 @@
 			t.Errorf("evacuated: %v, want b", zones)
 		}
 	}
-	if heard != 2 {
-		t.Errorf("%d changes were reported, want one at each entry", heard)
+	if notifications != 2 {
+		t.Errorf("%d changes were reported, want one at each entry", notifications)
 	}
 }
 
-// orderListener records what it is told of first.
+// orderListener records the order of its calls.
 type orderListener struct {
 	testListener
-	told []string
+	calls []string
 }
 
 func (l *orderListener) Accept(document []byte) (uint64, error) {
-	l.told = append(l.told, "document")
+	l.calls = append(l.calls, "document")
 	return l.testListener.Accept(document)
 }
 
 func (l *orderListener) LearnedReceived([]learned.Kind) {}
 
 func (l *orderListener) EvacuationsReceived(evacuation.State) {
-	l.told = append(l.told, "evacuations")
+	l.calls = append(l.calls, "evacuations")
 }
 
 func TestEvacuationsComeBeforeTheDocumentOfTheSameExchange(t *testing.T) {
@@ -71,7 +73,7 @@
 	e, closeExchanger := NewExchanger(own, listener)
 	defer closeExchanger()
 	e.apply(other.viewFor(own.summary(), true))
-	if !slices.Equal(listener.told, []string{"evacuations", "document"}) {
-		t.Errorf("told of %v", listener.told)
+	if !slices.Equal(listener.calls, []string{"evacuations", "document"}) {
+		t.Errorf("calls in the order %v", listener.calls)
 	}
 }
--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -19,31 +19,33 @@
 	"sailhead/internal/wire"
 )
 
-// idleTimeout is how long an unused connection to another process stays open. An entry calls each other one once in some seconds:
-// at 13 entries it calls 13 times in 6 s.
+// idleTimeout is how long an idle connection to another process stays open. It exceeds the interval between two calls to the same entry, which
+// is several seconds: with 13 entries, each makes 13 calls in 6 s.
 const idleTimeout = 10 * time.Second
 
-// Listener is told what other processes knew and this one did not. Its methods must not block for long.
+// Listener receives new information from other processes. Its methods must not block for long.
 type Listener interface {
-	// Accept checks a document and returns its version. A document for which it returns an error is ignored; Accept logs it.
+	// Accept validates a configuration document and returns its version. If the document is invalid, Accept logs and returns an error, and the
+	// document is ignored.
 	Accept(document []byte) (version uint64, err error)
-	// CrashReceived is called with each crash of a worker that was not known.
+	// CrashReceived is called with each new crash of a worker.
 	CrashReceived(Crash)
-	// LearnedReceived is called with what another entry has learned of the kinds of jobs.
+	// LearnedReceived is called with the statistics of another entry about kinds of jobs.
 	LearnedReceived([]learned.Kind)
-	// EvacuationsReceived is called when the directory's evacuations have changed, before Accept for a document that came with them.
+	// EvacuationsReceived is called when the directory's evacuation state has changed. It is called before Accept for a document from the same
+	// view.
 	EvacuationsReceived(evacuation.State)
 }
 
-// Exchanger exchanges the content of a directory with other processes.
+// Exchanger synchronises a directory with those of other processes.
 type Exchanger struct {
 	directory *Directory
 	listener  Listener
 	client    *http.Client
 }
 
-// NewExchanger returns an exchanger for a directory. The listener is told what comes from other processes. The clean-up closes
-// idle connections.
+// NewExchanger returns an exchanger for a directory. The listener receives new information from other processes. The clean-up closes idle
+// connections.
 func NewExchanger(directory *Directory, listener Listener) (*Exchanger, func()) {
 	client, closeIdle := newClient()
 	return &Exchanger{directory: directory, listener: listener, client: client}, closeIdle
@@ -63,30 +65,30 @@
 	return clusterpb.NewClusterServer(e)
 }
 
-// Exchange adds what another entry knows and returns what this one knows and the other one does not. It implements
-// clusterpb.Cluster and returns no error.
+// Exchange applies the view of another entry and returns this entry's view, limited to what the other one is missing. It implements
+// clusterpb.Cluster and always returns a nil error.
 func (e *Exchanger) Exchange(_ context.Context, view *clusterpb.View) (*clusterpb.View, error) {
 	e.apply(view)
 	return e.directory.viewFor(view, view.Wants), nil
 }
 
-// Announce adds the calling process. It implements clusterpb.Cluster and returns no error.
+// Announce adds the calling process to the directory. It implements clusterpb.Cluster and always returns a nil error.
 func (e *Exchanger) Announce(_ context.Context, view *clusterpb.View) (*clusterpb.View, error) {
-	for _, m := range membersOf(view) {
+	for _, m := range unpackMembers(view) {
 		e.directory.AddAnnounced(m)
 	}
 	return e.directory.summary(), nil
 }
 
-// apply adds the evacuations, the members, the crashes, what was learned and the document of another entry's view, in this order:
-// nothing is placed without agents or a configuration, so neither comes before it is known which availability zones are evacuated.
+// apply adds the evacuations, members, crashes, statistics and document of another entry's view to the directory, in this order. Evacuations come
+// first because tasks can be placed once agents and a configuration are known, and must not be placed in an evacuated availability zone.
 func (e *Exchanger) apply(view *clusterpb.View) {
 	if state, isChanged := e.directory.MergeEvacuations(wire.UnpackEvacuations(view.GetEvacuationsAsOf(), view.GetEvacuations())); isChanged {
 		e.listener.EvacuationsReceived(state)
 	}
 	e.directory.addMembers(view)
 	for _, message := range view.Crashes {
-		if crash := crashOf(message); e.directory.AddCrash(clock.Now(), crash) {
+		if crash := unpackCrash(message); e.directory.AddCrash(clock.Now(), crash) {
 			e.listener.CrashReceived(crash)
 		}
 	}
@@ -101,11 +103,11 @@
 	}
 }
 
-// ExchangeWith compares the directory with that of the entry at an address and adds what that entry knows. If it does not know
-// all that this one does, a second call sends it the members, the configuration or both. An error names the address.
+// ExchangeWith compares the directory with that of the entry at an address and adds what is missing here. If the other entry lacks members or the
+// configuration, a second call sends them. Errors include the address.
 //
-// Usually both know the same, and the call is a few bytes. With the members in each call and answer, bytes
-// would grow as the square of the fleet.
+// Usually both directories are equal, and the call takes a few bytes. If each call and answer contained the members, traffic would grow with
+// the square of the number of processes.
 func (e *Exchanger) ExchangeWith(ctx context.Context, address string) error {
 	client := clusterpb.NewClusterProtobufClient("http://"+address, e.client)
 	request := e.directory.summary()
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// Announcer announces a process to entries.
+// Announcer announces this process to entries.
 type Announcer struct {
 	client *http.Client
 }
@@ -136,10 +138,10 @@
 	return &Announcer{client: client}, closeIdle
 }
 
-// AnnounceTo sends the record of a process to the entry at an address. An error names the address.
+// AnnounceTo sends the record of this process to the entry at an address. Errors include the address.
 func (a *Announcer) AnnounceTo(ctx context.Context, address string, self Member) error {
 	client := clusterpb.NewClusterProtobufClient("http://"+address, a.client)
-	view := &clusterpb.View{Members: []*clusterpb.Member{self.message()}}
+	view := &clusterpb.View{Members: []*clusterpb.Member{self.pack()}}
 	if _, err := client.Announce(ctx, view); err != nil {
 		return errors.Wrapf(err, "cluster: unable to announce to %s", address)
 	}
--- a/internal/cluster/fuzz_test.go
+++ b/internal/cluster/fuzz_test.go
@@ -12,7 +12,8 @@
 	"sailhead/internal/learned"
 )
 
-// FuzzView applies the view of another entry, which may be of another version, beside what the directory holds.
+// FuzzView applies an arbitrary view, as another entry of a different version may send it, to a directory with one member. The member must be
+// preserved, and all members and statistics must be valid afterwards.
 func FuzzView(f *testing.F) {
 	other := NewDirectory()
 	other.AddMember(agentOf(3))
@@ -36,14 +37,14 @@
 		e, closeExchanger := NewExchanger(d, testListener{learned: func(kinds []learned.Kind) {
 			for _, k := range kinds {
 				if !k.IsValid() {
-					t.Fatalf("%x: %+v cannot have been learned", data, k)
+					t.Fatalf("%x: %+v is invalid", data, k)
 				}
 			}
 		}})
 		defer closeExchanger()
 		e.apply(&view)
 		if len(d.Members(RoleEntry)) == 0 {
-			t.Fatalf("%x: the member that was known is lost", data)
+			t.Fatalf("%x: the known member was removed", data)
 		}
 		for _, role := range []Role{RoleEntry, RoleAgent} {
 			for _, m := range d.Members(role) {
--- a/internal/cluster/learned.go
+++ b/internal/cluster/learned.go
@@ -9,7 +9,7 @@
 	"sailhead/internal/wire"
 )
 
-// SetLearned replaces what exchanges tell other entries of the kinds of jobs.
+// SetLearned replaces the statistics about kinds of jobs that exchanges send to other entries.
 func (d *Directory) SetLearned(kinds []learned.Kind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -29,7 +29,7 @@
 	return packed
 }
 
-// unpackLearned returns the records of a view. Those that cannot have been made from jobs are left out.
+// unpackLearned returns the statistics of a view. Invalid records, which cannot result from jobs, are skipped.
 func unpackLearned(packed []*clusterpb.LearnedKind) []learned.Kind {
 	var kinds []learned.Kind
 	for _, p := range packed[:min(len(packed), learned.MaxKinds)] {
--- a/internal/cluster/learned_test.go
+++ b/internal/cluster/learned_test.go
@@ -20,22 +20,22 @@
 	}
 }
 
-func TestAnExchangeTellsBothSidesWhatTheOtherHasLearned(t *testing.T) {
+func TestAnExchangeSendsLearnedKindsBothWays(t *testing.T) {
 	own, other := NewDirectory(), NewDirectory()
 	own.SetLearned([]learned.Kind{learnedKind("a")})
 	other.SetLearned([]learned.Kind{learnedKind("b"), {Name: "without steps"}})
-	heard := make(chan []learned.Kind, 2)
-	served, closeServed := NewExchanger(other, testListener{learned: func(kinds []learned.Kind) { heard <- kinds }})
+	received := make(chan []learned.Kind, 2)
+	served, closeServed := NewExchanger(other, testListener{learned: func(kinds []learned.Kind) { received <- kinds }})
 	defer closeServed()
 	server := httptest.NewServer(served.Handler())
 	defer server.Close()
-	caller, closeCaller := NewExchanger(own, testListener{learned: func(kinds []learned.Kind) { heard <- kinds }})
+	caller, closeCaller := NewExchanger(own, testListener{learned: func(kinds []learned.Kind) { received <- kinds }})
 	defer closeCaller()
 	if err := caller.ExchangeWith(context.Background(), server.Listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"a", "b"} {
-		if got, want := <-heard, []learned.Kind{learnedKind(name)}; !reflect.DeepEqual(got, want) {
+		if got, want := <-received, []learned.Kind{learnedKind(name)}; !reflect.DeepEqual(got, want) {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	}
--- a/internal/cluster/stored_test.go
+++ b/internal/cluster/stored_test.go
@@ -14,7 +14,8 @@
 	"sailhead/internal/worker"
 )
 
-// TestStoredMembersStayReadable reads records that Member.Encode of commit 6144f75 wrote, and writes the same bytes.
+// TestStoredMembersStayReadable decodes records written by Member.Encode of commit 6144f75, and encodes them to the same bytes. It guards the
+// format of the platform's store against incompatible changes.
 func TestStoredMembersStayReadable(t *testing.T) {
 	for file, want := range map[string]Member{
 		"member-entry.json": {
