--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -312,22 +312,22 @@
 	}
 }
 
-// TestAFullRingTakesNoJobAndLosesNone hands jobs over to an entry that reads nothing, until the sender stops. A full send queue must not close
+// TestAFullQueueTakesNoJobAndLosesNone hands jobs over to an entry that reads nothing, until the sender stops. A full send queue must not close
 // the connection, as that would lose the jobs already handed over; only the liveness timeout may.
-func TestAFullRingTakesNoJobAndLosesNone(t *testing.T) {
+func TestAFullQueueTakesNoJobAndLosesNone(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
-	s := &Sender{zone: "zone-a", peers: func() []Peer { return nil }, handler: &recorder{outcomes: make(chan outcome, 2*stream.RingSize)}, ctx: t.Context(), jobs: make(map[uint64]*link)}
+	s := &Sender{zone: "zone-a", peers: func() []Peer { return nil }, handler: &recorder{outcomes: make(chan outcome, 2*stream.QueueSize)}, ctx: t.Context(), jobs: make(map[uint64]*link)}
 	l := &link{conn: stream.New(ours, uncounted{}), jobs: make(map[uint64]string)}
 	defer l.conn.Close(stream.ErrClosed)
 	s.links = []*link{l}
 	large := job("a")
 	large.Payload = strings.Repeat("x", 4000)
 	var taken uint64
-	for taken < 2*stream.RingSize && s.HandOver(taken+1, large) {
+	for taken < 2*stream.QueueSize && s.HandOver(taken+1, large) {
 		taken++
 	}
-	if taken >= stream.RingSize || len(l.jobs) != int(taken) || len(s.jobs) != int(taken) {
+	if taken >= stream.QueueSize || len(l.jobs) != int(taken) || len(s.jobs) != int(taken) {
 		t.Errorf("%d jobs were handed over, %d are on the link and %d in all", taken, len(l.jobs), len(s.jobs))
 	}
 	for number := uint64(1); number <= taken/2; number++ {
@@ -383,9 +383,9 @@
 	return listener.Addr().String(), func() { close(silent) }
 }
 
-// TestBothEndsNoticeAConnectionThatFellSilent interrupts a connection without a TCP reset while a job is outstanding. The receiver must cancel
+// TestBothEndsDetectASilentConnection interrupts a connection without a TCP reset while a job is outstanding. The receiver must cancel
 // the job and the sender must report it as lost.
-func TestBothEndsNoticeAConnectionThatFellSilent(t *testing.T) {
+func TestBothEndsDetectASilentConnection(t *testing.T) {
 	local := &fakeEntry{submitted: make(chan *submission, 10)}
 	address, _ := serve(t, local)
 	through, silence := proxy(t, address)
@@ -407,9 +407,9 @@
 	t.Logf("noticed after %s", time.Since(silenced))
 }
 
-// TestARunOfALostEntryEndsBeforeItsCallerComesAgain checks that the worst-case time until the receiver of a job has stopped its runs is shorter
+// TestARunOfALostEntryEndsBeforeItsCallerRetries checks that the worst-case time until the receiver of a job has stopped its runs is shorter
 // than the callers' retry delay. Otherwise a retry could run beside the first attempt.
-func TestARunOfALostEntryEndsBeforeItsCallerComesAgain(t *testing.T) {
+func TestARunOfALostEntryEndsBeforeItsCallerRetries(t *testing.T) {
 	if noticed := timing.SessionCloseTimeout + pingInterval; noticed+timing.MaxStopTime >= timing.CallerRetryDelay {
 		t.Errorf("a silent connection is detected after %s, and callers retry after %s", noticed, timing.CallerRetryDelay)
 	}
--- a/internal/handover/liveness.go
+++ b/internal/handover/liveness.go
@@ -24,8 +24,8 @@
 	mu sync.Mutex
 	// jobs is the number of outstanding jobs.
 	jobs int
-	// heard is the time of the last message from the peer, or of the first outstanding job if that is later.
-	heard time.Time
+	// lastReceived is the time of the last message from the peer, or of the first outstanding job if that is later.
+	lastReceived time.Time
 }
 
 // began records an additional outstanding job.
@@ -33,7 +33,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.jobs == 0 {
-		l.heard = now
+		l.lastReceived = now
 	}
 	l.jobs++
 }
@@ -49,7 +49,7 @@
 func (l *liveness) received(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = now
+	l.lastReceived = now
 }
 
 // check reports whether jobs are outstanding and, if so, whether the peer has been silent for timing.SessionCloseTimeout.
@@ -57,5 +57,5 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	isActive = l.jobs > 0
-	return isActive, isActive && now.Sub(l.heard) > timing.SessionCloseTimeout
+	return isActive, isActive && now.Sub(l.lastReceived) > timing.SessionCloseTimeout
 }
--- a/internal/handover/redial_test.go
+++ b/internal/handover/redial_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func TestThePauseBeforeARedialDoubles(t *testing.T) {
+func TestTheRedialDelayDoubles(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, draw := range []struct {
 		share float64
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestAnEntryThatClosesEachConnectionIsNotDialledAgainAndAgain hands jobs over continuously while the only other entry accepts connections and
+// TestAnEntryThatClosesEachConnectionIsRedialledWithBackoff hands jobs over continuously while the only other entry accepts connections and
 // closes them at once. The backoff must limit the number of connections.
-func TestAnEntryThatClosesEachConnectionIsNotDialledAgainAndAgain(t *testing.T) {
+func TestAnEntryThatClosesEachConnectionIsRedialledWithBackoff(t *testing.T) {
 	var dialled atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		dialled.Add(1)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	payload := string(make([]byte, 4000))
-	for range 20 * stream.RingSize {
+	for range 20 * stream.QueueSize {
 		entry.Start(1, runner.Task{Name: "t", Payload: payload})
 	}
 	select {
--- a/internal/stream/connection.go
+++ b/internal/stream/connection.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// RingSize is the capacity of the send queue, in messages. If the queue overflows, the peer is not reading, and the connection is closed.
+	// QueueSize is the capacity of the send queue, in messages. If the queue overflows, the peer is not reading, and the connection is closed.
 	// At the target size an agent starts 22 tasks per second, so the capacity is several seconds of messages even if one entry sends all.
-	RingSize = 1024
+	QueueSize = 1024
 	// writeTimeout limits the time to write the queued messages. It is longer than timing.SessionCloseTimeout, so missing pings close the
 	// connection to a peer that does not read before this timeout does.
 	writeTimeout = time.Second
@@ -36,7 +36,7 @@
 )
 
 // errSlowPeer closes a connection whose peer reads more slowly than messages are sent.
-var errSlowPeer = errors.Errorf("stream: send queue full with %d messages", RingSize)
+var errSlowPeer = errors.Errorf("stream: send queue full with %d messages", QueueSize)
 
 // ErrClosed is the cause of a connection closed by this end.
 var ErrClosed = errors.New("stream: closed by this end")
@@ -66,7 +66,7 @@
 // New takes ownership of a connection. The connection is released by Close or Finish, or when Read returns.
 func New(conn net.Conn, counter Counter) *Connection {
 	c := &Connection{
-		conn: conn, counter: counter, queue: make(chan proto.Message, RingSize), closed: make(chan struct{}),
+		conn: conn, counter: counter, queue: make(chan proto.Message, QueueSize), closed: make(chan struct{}),
 		finishing: make(chan struct{}), written: make(chan struct{}),
 	}
 	go c.write()
@@ -115,7 +115,7 @@
 		return false
 	default:
 	}
-	if len(c.queue) >= RingSize/2 {
+	if len(c.queue) >= QueueSize/2 {
 		return false
 	}
 	c.Send(message)
--- a/internal/stream/connection_test.go
+++ b/internal/stream/connection_test.go
@@ -75,7 +75,7 @@
 
 // readAll reads in the background. It returns a channel for the messages and one for the error with which Read returns.
 func readAll(c *Connection) (messages <-chan string, ended <-chan error) {
-	read, end := make(chan string, 2*RingSize), make(chan error, 1)
+	read, end := make(chan string, 2*QueueSize), make(chan error, 1)
 	go func() {
 		end <- Read(c, func(m *wrapperspb.StringValue) { read <- m.Value })
 	}()
@@ -186,12 +186,12 @@
 	}
 }
 
-func TestMoreMessagesThanTheRingHoldsEndTheConnection(t *testing.T) {
+func TestMoreMessagesThanTheQueueHoldsEndTheConnection(t *testing.T) {
 	// Writes to a pipe without a reader block.
 	ours, _ := net.Pipe()
 	c := New(ours, uncounted{})
 	large := text(strings.Repeat("x", bufferSize))
-	for range RingSize + 2 {
+	for range QueueSize + 2 {
 		c.Send(large)
 	}
 	receive(t, c.Closed())
@@ -210,10 +210,10 @@
 	for c.TrySend(large) {
 		sent++
 	}
-	if sent < RingSize/2 || sent > RingSize/2+2 {
-		t.Errorf("%d messages were sent, want %d", sent, RingSize/2)
+	if sent < QueueSize/2 || sent > QueueSize/2+2 {
+		t.Errorf("%d messages were sent, want %d", sent, QueueSize/2)
 	}
-	for range RingSize / 4 {
+	for range QueueSize / 4 {
 		c.Send(large)
 	}
 	select {
@@ -234,7 +234,7 @@
 		c, peer := New(ours, uncounted{}), New(theirs, uncounted{})
 		_, ended := readAll(c)
 		messages, peerEnded := readAll(peer)
-		const count = RingSize / 2
+		const count = QueueSize / 2
 		for range count {
 			peer.Send(text("unread"))
 			c.Send(text("x"))
@@ -253,7 +253,7 @@
 
 // TestFinishEndsWithASilentPeer finishes connections to a peer that neither reads nor closes its end. Finish must return within its timeout.
 func TestFinishEndsWithASilentPeer(t *testing.T) {
-	for _, waiting := range []int{0, RingSize / 2} {
+	for _, waiting := range []int{0, QueueSize / 2} {
 		ours, _ := pair(t)
 		c := New(ours, uncounted{})
 		_, ended := readAll(c)
