--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -87,13 +87,13 @@
 }
 
 // serve starts a server for an entry and returns its address and a function that closes the server and all its connections.
-func serve(t *testing.T, local Local) (address string, kill func()) {
+func serve(t *testing.T, local LocalEntry) (address string, kill func()) {
 	address, kill, _ = serveUntilStopped(t, local)
 	return address, kill
 }
 
 // serveUntilStopped is like serve, and also returns the clean-up of NewServer.
-func serveUntilStopped(t *testing.T, local Local) (address string, kill, stop func()) {
+func serveUntilStopped(t *testing.T, local LocalEntry) (address string, kill, stop func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -30,15 +30,15 @@
 	protocol = "sailhead-handover"
 )
 
-// Local is the entry to which a server submits jobs from other entries.
-type Local interface {
+// LocalEntry is the entry to which a server submits jobs from other entries.
+type LocalEntry interface {
 	// Submit returns the final answer to a job. If the context is cancelled first, the job is cancelled.
 	Submit(ctx context.Context, job dispatch.Job) dispatch.Answer
 }
 
 // Server accepts jobs from other entries.
 type Server struct {
-	local      Local
+	local      LocalEntry
 	logger     log.Logger
 	goroutines sync.WaitGroup
 
@@ -53,7 +53,7 @@
 // NewServer returns a server that handles requests for Path and submits jobs to the local entry. The clean-up must be called after the local
 // entry has stopped. It sends the remaining answers, closes all connections, cancels the unanswered jobs, and returns when all goroutines of
 // the server have ended.
-func NewServer(local Local, logger log.Logger) (*Server, func()) {
+func NewServer(local LocalEntry, logger log.Logger) (*Server, func()) {
 	s := &Server{local: local, logger: logger, open: make(map[*inboundConn]bool)}
 	return s, s.close
 }
@@ -119,7 +119,7 @@
 
 // inboundConn is a connection on which another entry hands jobs over.
 type inboundConn struct {
-	local Local
+	local LocalEntry
 	conn  *stream.Connection
 	alive liveness
 	ctx   context.Context
