--- a/internal/durable/admission.go
+++ b/internal/durable/admission.go
@@ -42,7 +42,7 @@
 	j := newJob(e.Job)
 	j.waiters = []Waiter{e.Waiter}
 	s.addJob(j)
-	s.add(j, &durablepb.Record{Record: &durablepb.Record_Accepted{Accepted: PackJob(e.Job)}})
+	s.enqueue(j, &durablepb.Record{Record: &durablepb.Record_Accepted{Accepted: PackJob(e.Job)}})
 }
 
 // cancel ends a job and answers once that is written. A job that has ended keeps its state.
@@ -61,7 +61,7 @@
 	default:
 		j.state = StateCancelled
 		j.waiters = append(j.waiters, e.Waiter)
-		s.add(j, j.record())
+		s.enqueue(j, j.record())
 		c.emit(ToDispatcher{Event: dispatch.DurableDropped{Jobs: []string{j.id}}})
 	}
 }
--- a/internal/durable/batch.go
+++ b/internal/durable/batch.go
@@ -22,18 +22,18 @@
 	effects []Effect
 }
 
-// add queues a change. It replaces a queued change of the same job, unless that is its acceptance: the newest record of a job
+// enqueue queues a change. It replaces a queued change of the same job, unless that is its acceptance: the newest record of a job
 // holds all of its progress.
-func (s *shard) add(j *job, record *durablepb.Record, effects ...Effect) {
-	if j != nil && j.queued != nil && j.queued.record.GetAccepted() == nil {
-		j.queued.record = record
-		j.queued.effects = append(j.queued.effects, effects...)
+func (s *shard) enqueue(j *job, record *durablepb.Record, effects ...Effect) {
+	if j != nil && j.queuedChange != nil && j.queuedChange.record.GetAccepted() == nil {
+		j.queuedChange.record = record
+		j.queuedChange.effects = append(j.queuedChange.effects, effects...)
 		return
 	}
 	ch := &change{record: record, job: j, effects: effects}
 	s.queue = append(s.queue, ch)
 	if j != nil {
-		j.queued = ch
+		j.queuedChange = ch
 		j.unwritten++
 	}
 }
@@ -47,8 +47,8 @@
 			break
 		}
 		count++
-		if ch.job != nil && ch.job.queued == ch {
-			ch.job.queued = nil
+		if ch.job != nil && ch.job.queuedChange == ch {
+			ch.job.queuedChange = nil
 		}
 	}
 	taken := s.queue[:count:count]
@@ -70,11 +70,11 @@
 	}
 }
 
-// retain counts one more record of use in a batch.
-func (s *shard) retain(batch Sequence) { s.recordCounts[batch]++ }
+// retainBatch counts one more record of use in a batch.
+func (s *shard) retainBatch(batch Sequence) { s.recordCounts[batch]++ }
 
-// release counts one less, and makes the batch removable if none is left. 0 is no batch.
-func (s *shard) release(batch Sequence) {
+// releaseBatch counts one less, and makes the batch removable if none is left. 0 is no batch.
+func (s *shard) releaseBatch(batch Sequence) {
 	if batch == 0 {
 		return
 	}
--- a/internal/durable/claim.go
+++ b/internal/durable/claim.go
@@ -29,7 +29,7 @@
 	if !c.mayClaim(now, s) {
 		return
 	}
-	s.state, s.lastTry = claiming, now
+	s.state, s.lastAttempt = claiming, now
 	claim := c.self
 	claim.Shard, claim.Lease = s.number, c.lease.id
 	c.emit(CallClaim{Claim: claim})
@@ -42,7 +42,7 @@
 		return false
 	case !c.storeRead || c.lease.id == 0 || isShuttingDown:
 		return false
-	case now.Sub(s.lastTry) < storeRetryInterval:
+	case now.Sub(s.lastAttempt) < storeRetryInterval:
 		return false
 	}
 	delay := time.Duration(c.rank(s)) * claimRankDelay
@@ -121,7 +121,7 @@
 	}
 }
 
-func (c *Coordinator) claimGone(now time.Time, e ClaimRemoved) {
+func (c *Coordinator) claimRemoved(now time.Time, e ClaimRemoved) {
 	s := c.shards[e.Shard]
 	if e.Token <= s.claimRevision {
 		return
--- a/internal/durable/client.go
+++ b/internal/durable/client.go
@@ -45,29 +45,29 @@
 	return &Client{client: &http.Client{Transport: transport, Timeout: ownerTimeout}}, transport.CloseIdleConnections
 }
 
-func (c *Client) at(address string) durablepb.Keep {
+func (c *Client) rpcClient(address string) durablepb.Keep {
 	return durablepb.NewKeepProtobufClient("http://"+address, c.client)
 }
 
 // Submit sends a job to the owner at an address.
 func (c *Client) Submit(ctx context.Context, address string, job dispatch.Job) Answer {
-	return toAnswer(c.at(address).Submit(ctx, PackJob(job)))
+	return toAnswer(c.rpcClient(address).Submit(ctx, PackJob(job)))
 }
 
 // State queries the state of a job at the owner's address.
 func (c *Client) State(ctx context.Context, address, id string) Answer {
-	return toAnswer(c.at(address).State(ctx, &durablepb.JobRequest{Id: id}))
+	return toAnswer(c.rpcClient(address).State(ctx, &durablepb.JobRequest{Id: id}))
 }
 
 // Cancel cancels a job at the owner's address.
 func (c *Client) Cancel(ctx context.Context, address, id string) Answer {
-	return toAnswer(c.at(address).Cancel(ctx, &durablepb.JobRequest{Id: id}))
+	return toAnswer(c.rpcClient(address).Cancel(ctx, &durablepb.JobRequest{Id: id}))
 }
 
 // Pending returns the number of jobs of a kind that the entry at an address owns and that have not started a task; ok is false
 // if it did not answer, or does not know the jobs of all its shards.
 func (c *Client) Pending(ctx context.Context, address, kind string) (jobs int, ok bool) {
-	answer, err := c.at(address).Pending(ctx, &durablepb.PendingRequest{Kind: kind})
+	answer, err := c.rpcClient(address).Pending(ctx, &durablepb.PendingRequest{Kind: kind})
 	if err != nil || answer.Incomplete {
 		return 0, false
 	}
@@ -77,7 +77,7 @@
 // Surrender asks the entry at an address to stop serving a shard, and reports whether nothing more is started for it there:
 // the entry has confirmed that, or no process listens at the address any more.
 func (c *Client) Surrender(ctx context.Context, address string, shard Shard, token Token) bool {
-	_, err := c.at(address).Surrender(ctx, &durablepb.SurrenderRequest{Shard: uint32(shard), Token: int64(token)})
+	_, err := c.rpcClient(address).Surrender(ctx, &durablepb.SurrenderRequest{Shard: uint32(shard), Token: int64(token)})
 	return err == nil || errors.Is(err, syscall.ECONNREFUSED)
 }
 
--- a/internal/durable/commit.go
+++ b/internal/durable/commit.go
@@ -24,21 +24,21 @@
 // sequences would be taken for written although it is not.
 
 const (
-	// maxEntries is the largest number of entries in a transaction of the store. A part takes partEntries: the claim, the free
+	// maxTransactionEntries is the largest number of entries in a transaction of the store. A part takes partEntries: the claim, the free
 	// key of the batch, and the batch; one that releases its shard takes releaseEntries more, for the removal of the claim. A
 	// removed batch takes one.
-	maxEntries     = 32
-	partEntries    = 3
-	releaseEntries = 1
-	// maxRemovals bounds the batches that a commit removes.
-	maxRemovals = 8
+	maxTransactionEntries = 32
+	partEntries           = 3
+	releaseEntries        = 1
+	// maxRemovedBatches bounds the batches that a commit removes.
+	maxRemovedBatches = 8
 	// commitRetryInterval is the time between two tries of a commit that was not confirmed: ten times as long as the store takes to answer
 	// while it is in order.
 	commitRetryInterval = 40 * time.Millisecond
 )
 
-// openCommit is the commit in flight.
-type openCommit struct {
+// inFlightCommit is the commit in flight.
+type inFlightCommit struct {
 	commit Commit
 	// changes are those of each part of the commit.
 	changes [][]*change
@@ -74,8 +74,8 @@
 // startCommit writes the queued changes, if there are any.
 func (c *Coordinator) startCommit(now time.Time) {
 	c.commitNumber++
-	open := &openCommit{commit: Commit{Number: c.commitNumber}}
-	removals, entries := maxRemovals, maxEntries-maxRemovals
+	open := &inFlightCommit{commit: Commit{Number: c.commitNumber}}
+	removals, entries := maxRemovedBatches, maxTransactionEntries-maxRemovedBatches
 	for i := range c.shards {
 		// Each commit starts with another shard, so that all get their turn.
 		s := c.shards[(uint64(i)+c.commitNumber)%Shards]
@@ -124,22 +124,22 @@
 }
 
 func (c *Coordinator) commitAnswered(now time.Time, e Committed) {
-	open := c.commit
-	if open == nil || open.commit.Number != e.Number {
+	inFlight := c.commit
+	if inFlight == nil || inFlight.commit.Number != e.Number {
 		return
 	}
 	switch result := e.Result.(type) {
 	case CommitWritten:
 		c.commit = nil
-		for i, part := range open.commit.Parts {
-			c.partWritten(now, part, open.changes[i])
+		for i, part := range inFlight.commit.Parts {
+			c.partWritten(now, part, inFlight.changes[i])
 		}
 		c.answerStateQueries(now)
 	case CommitFenced:
 		c.commit = nil
-		c.commitRejected(open, result.Shards)
+		c.commitRejected(inFlight, result.Shards)
 	default:
-		open.retryAt = now.Add(commitRetryInterval)
+		inFlight.retryAt = now.Add(commitRetryInterval)
 	}
 }
 
@@ -185,7 +185,7 @@
 
 // commitRejected handles a commit of which nothing was written because the claims of some shards have changed. Those are
 // lost; the changes of the others are queued again and reuse their sequences.
-func (c *Coordinator) commitRejected(open *openCommit, lost []Shard) {
+func (c *Coordinator) commitRejected(open *inFlightCommit, lost []Shard) {
 	for i, part := range open.commit.Parts {
 		s := c.shards[part.Shard]
 		switch {
--- a/internal/durable/coordinator.go
+++ b/internal/durable/coordinator.go
@@ -37,7 +37,7 @@
 	// shutdownAt is when the shards must be released, or zero when running normally.
 	shutdownAt time.Time
 	// commit is the commit in flight, or nil.
-	commit       *openCommit
+	commit       *inFlightCommit
 	lastCommit   time.Time
 	commitNumber uint64
 	stateQueries []stateQuery
@@ -78,17 +78,17 @@
 	case TaskEnded:
 		c.taskEnded(e)
 	case JobStarted:
-		c.jobBegun(e)
+		c.jobStarted(e)
 	case JobGivenUp:
-		c.giveUp(e)
+		c.failJob(e)
 	case EntriesChanged:
 		c.entries = e.Names
 	case StoreRead:
-		c.storeWasRead(now, e)
+		c.claimsRead(now, e)
 	case ClaimObserved:
 		c.claimObserved(now, e.Claim)
 	case ClaimRemoved:
-		c.claimGone(now, e)
+		c.claimRemoved(now, e)
 	case LeaseAnswered:
 		c.leaseAnswered(e)
 	case ClaimAnswered:
@@ -129,7 +129,7 @@
 	}
 }
 
-func (c *Coordinator) storeWasRead(now time.Time, e StoreRead) {
+func (c *Coordinator) claimsRead(now time.Time, e StoreRead) {
 	c.storeRead = true
 	if e.HasJobs {
 		c.activate(now)
@@ -148,7 +148,7 @@
 	for _, s := range c.shards {
 		c.claimIfDue(now, s)
 		c.loadIfDue(now, s)
-		s.forgetEnded(now.Add(-c.limits.StatusTime))
+		s.evictEnded(now.Add(-c.limits.StatusTime))
 	}
 }
 
--- a/internal/durable/ends.go
+++ b/internal/durable/ends.go
@@ -58,7 +58,7 @@
 		c.acknowledgeWithRecord(j, acknowledgement)
 		return
 	}
-	s.add(j, j.record(), acknowledgement)
+	s.enqueue(j, j.record(), acknowledgement)
 	switch {
 	case j.state == StateFailed:
 		c.emit(ToDispatcher{Event: dispatch.DurableDropped{Jobs: []string{j.id}}})
@@ -74,26 +74,26 @@
 	switch {
 	case j.unwritten == 0:
 		c.emit(acknowledgement)
-	case j.queued != nil:
-		j.queued.effects = append(j.queued.effects, acknowledgement)
+	case j.queuedChange != nil:
+		j.queuedChange.effects = append(j.queuedChange.effects, acknowledgement)
 	}
 }
 
-// jobBegun records that a job runs. That is not written: a new owner shows the job as queued until a task has ended.
-func (c *Coordinator) jobBegun(e JobStarted) {
+// jobStarted records that a job runs. That is not written: a new owner shows the job as queued until a task has ended.
+func (c *Coordinator) jobStarted(e JobStarted) {
 	if j, ok := c.shards[ShardOf(e.Job)].jobs[e.Job]; ok {
-		j.begun = true
+		j.started = true
 	}
 }
 
-// giveUp records that a job has failed. A job of a shard that is no longer served here is left to its owner, which hears of
+// failJob records that a job has failed. A job of a shard that is no longer served here is left to its owner, which hears of
 // the crashes too.
-func (c *Coordinator) giveUp(e JobGivenUp) {
+func (c *Coordinator) failJob(e JobGivenUp) {
 	s := c.shards[ShardOf(e.Job)]
 	j, ok := s.jobs[e.Job]
 	if !ok || j.state.IsEnd() {
 		return
 	}
 	j.state = StateFailed
-	s.add(j, j.record())
+	s.enqueue(j, j.record())
 }
--- a/internal/durable/job.go
+++ b/internal/durable/job.go
@@ -22,17 +22,17 @@
 	taskNames []string
 	done      map[uint32]bool
 	failed    []*durablepb.FailedRun
-	// begun is set once a task has started.
-	begun bool
+	// started is set once a task has started.
+	started bool
 	// state is the decided state, and storedState the one in the store; that is 0 until the acceptance is written. Both are
 	// StateQueued or an end: visibleState tells a running job from a queued one.
 	state       State
 	storedState State
 	// waiters wait for the acceptance or the cancellation to be written.
 	waiters []Waiter
-	// queued is the job's newest change if no commit has taken it yet, and unwritten counts its changes that are not written.
-	queued    *change
-	unwritten int
+	// queuedChange is the job's newest change if no commit has taken it yet, and unwritten counts its changes that are not written.
+	queuedChange *change
+	unwritten    int
 	// acceptedBatch, progressBatch and endedBatch are the batches that hold the job's records of use; 0 is none.
 	acceptedBatch Sequence
 	progressBatch Sequence
@@ -55,7 +55,7 @@
 	switch {
 	case j.storedState.IsEnd():
 		return j.storedState
-	case j.begun:
+	case j.started:
 		return StateRunning
 	default:
 		return StateQueued
@@ -89,7 +89,7 @@
 	default:
 		j.failed = append(j.failed, &durablepb.FailedRun{Task: task, Run: e.Update.Run, Agent: string(e.Agent)})
 	}
-	j.begun = true
+	j.started = true
 	j.decideState(task)
 	return true
 }
@@ -129,7 +129,7 @@
 		j.done[task] = true
 	}
 	j.failed = progress.Failed
-	j.begun = true
+	j.started = true
 }
 
 // record returns the job's newest record: its end or its progress.
--- a/internal/durable/query.go
+++ b/internal/durable/query.go
@@ -89,7 +89,7 @@
 func (s *shard) pending(kind string) int {
 	count := 0
 	for _, j := range s.jobs {
-		if j.kind == kind && j.storedState != 0 && !j.state.IsEnd() && !j.begun {
+		if j.kind == kind && j.storedState != 0 && !j.state.IsEnd() && !j.started {
 			count++
 		}
 	}
--- a/internal/durable/recovery.go
+++ b/internal/durable/recovery.go
@@ -36,13 +36,13 @@
 
 // load reads the batches of a claimed shard.
 func (c *Coordinator) load(now time.Time, s *shard) {
-	s.state, s.lastTry = loading, now
+	s.state, s.lastAttempt = loading, now
 	c.emit(Load{Shard: s.number, Token: s.token})
 }
 
 // loadIfDue reads a shard again that could not be loaded.
 func (c *Coordinator) loadIfDue(now time.Time, s *shard) {
-	if s.state == loading && now.Sub(s.lastTry) >= loadRetryInterval {
+	if s.state == loading && now.Sub(s.lastAttempt) >= loadRetryInterval {
 		c.load(now, s)
 	}
 }
@@ -102,7 +102,7 @@
 // serveShard starts to serve a shard. Its jobs may run from notBefore on; zero is at once.
 func (c *Coordinator) serveShard(s *shard, notBefore time.Time) {
 	s.state = owned
-	s.add(nil, c.ownedRecord(false))
+	s.enqueue(nil, c.ownedRecord(false))
 	for _, j := range s.jobs {
 		if !j.storedState.IsEnd() {
 			c.emit(ToDispatcher{Event: j.forDispatcher(notBefore)})
--- a/internal/durable/release.go
+++ b/internal/durable/release.go
@@ -43,17 +43,17 @@
 	if runs > 0 && now.Before(c.shutdownAt) {
 		return
 	}
-	left := 0
+	remaining := 0
 	for _, s := range c.shards {
 		switch {
 		case s.state == owned:
 			c.releaseShard(s, runs)
-			left++
+			remaining++
 		case s.isHeld():
 			c.loseShard(s, "the entry stops")
 		}
 	}
-	if left == 0 && c.lease.id != 0 {
+	if remaining == 0 && c.lease.id != 0 {
 		c.emit(EndLease{Lease: c.lease.id})
 		c.lease.id = 0
 	}
@@ -66,5 +66,5 @@
 	}
 	s.releasing = true
 	c.dropJobs(s)
-	s.add(nil, c.ownedRecord(runs == 0))
+	s.enqueue(nil, c.ownedRecord(runs == 0))
 }
--- a/internal/durable/shard.go
+++ b/internal/durable/shard.go
@@ -36,8 +36,8 @@
 	claimRevision  Token
 	claimChangedAt time.Time
 	// claimedAt is when the shard was last claimed here, and lastTry when a claim or a read was last started.
-	claimedAt time.Time
-	lastTry   time.Time
+	claimedAt   time.Time
+	lastAttempt time.Time
 	// token is the revision of the claim that is held here.
 	token Token
 	// releasing is set once the release at shutdown is queued.
@@ -136,8 +136,8 @@
 }
 
 func (s *shard) applyOwned(record *durablepb.Owned, batch Sequence) {
-	s.retain(batch)
-	s.release(s.lastOwnerBatch)
+	s.retainBatch(batch)
+	s.releaseBatch(s.lastOwnerBatch)
 	s.lastOwner, s.lastOwnerBatch = record, batch
 }
 
@@ -147,7 +147,7 @@
 		j = newJob(UnpackJob(record))
 		s.addJob(j)
 	}
-	s.retain(batch)
+	s.retainBatch(batch)
 	j.acceptedBatch = batch
 	j.storedState = max(j.storedState, StateQueued)
 	return j
@@ -158,8 +158,8 @@
 	if !ok {
 		return nil
 	}
-	s.retain(batch)
-	s.release(j.progressBatch)
+	s.retainBatch(batch)
+	s.releaseBatch(j.progressBatch)
 	j.progressBatch = batch
 	return j
 }
@@ -184,10 +184,10 @@
 
 // endJob records the written end of a job. Its earlier records are of no use any more.
 func (s *shard) endJob(now time.Time, j *job, state State, batch Sequence) {
-	s.retain(batch)
-	s.release(j.acceptedBatch)
-	s.release(j.progressBatch)
-	s.release(j.endedBatch)
+	s.retainBatch(batch)
+	s.releaseBatch(j.acceptedBatch)
+	s.releaseBatch(j.progressBatch)
+	s.releaseBatch(j.endedBatch)
 	if j.acceptedBatch != 0 {
 		j.originBatch = j.acceptedBatch
 	}
@@ -200,16 +200,16 @@
 	j.releaseMemory(now)
 }
 
-// forgetEnded forgets the jobs that ended before a time. The record of an end is of use while the batch with the job's
+// evictEnded forgets the jobs that ended before a time. The record of an end is of use while the batch with the job's
 // acceptance is in the store: without it, the acceptance would bring the job back.
-func (s *shard) forgetEnded(before time.Time) {
+func (s *shard) evictEnded(before time.Time) {
 	for len(s.ended) > 0 {
 		j := s.ended[0]
 		if !j.endedAt.Before(before) || s.stored[j.originBatch] {
 			return
 		}
 		s.ended = s.ended[1:]
-		s.release(j.endedBatch)
+		s.releaseBatch(j.endedBatch)
 		delete(s.jobs, j.id)
 	}
 }
