--- a/internal/durable/claim.go
+++ b/internal/durable/claim.go
@@ -9,22 +9,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A shard without an owner is claimed by the entries one after the other.
+// Entries claim an unowned shard in an order given by rendezvous hashing.
 //
-// Inputs: the claims in the store with their revisions, the names of the known entries, the own lease.
+// Inputs: the claims in the store with their revisions, the names of the known entries, this entry's lease.
 //
-// Rule: an entry claims a shard if it has read the store and found no claim, holds a lease, is not shutting down, and has
-// waited claimRankDelay for each entry before it in the shard's order. The store decides between two claims: it takes the
-// first. Claims and their removals apply in the order of their revisions, so that a late report changes nothing.
+// Rule: an entry claims a shard if it has read the claims from the store and found none for the shard, holds a lease, is not
+// shutting down, and has waited claimRankDelay for each entry that ranks before it for the shard. If two entries claim a shard,
+// the store accepts the first claim. Claims and their removals are applied in the order of their revisions, so that a delayed
+// report is ignored.
 //
-// Reason: the order gives each shard one likely owner, spreads the shards over the entries, and keeps the entries from all
-// calling the store when an owner is lost.
+// Reason: the ranking gives each shard one likely owner, distributes the shards over the entries, and prevents all entries from
+// calling the store at once when an owner is lost.
 
-// claimRankDelay is how long an entry waits for each entry before it in a shard's order: longer than a claim takes to be written and
-// reported by the watch.
+// claimRankDelay is how long an entry waits for each entry that ranks before it: longer than it takes to write a claim and to
+// report it through the watch of the store.
 const claimRankDelay = 400 * time.Millisecond
 
-// claimIfDue claims a shard if this entry may.
+// claimIfDue claims a shard if this entry may do so now.
 func (c *Coordinator) claimIfDue(now time.Time, s *shard) {
 	if !c.mayClaim(now, s) {
 		return
@@ -49,7 +50,8 @@
 	return now.Sub(c.unclaimedSince(s)) >= delay
 }
 
-// unclaimedSince returns when the entries began to wait for the shard: when its claim went, or when durable jobs came up.
+// unclaimedSince returns the start of the claim delay: when the shard's claim was removed, or when this coordinator was
+// activated if that was later.
 func (c *Coordinator) unclaimedSince(s *shard) time.Time {
 	if s.claimChangedAt.Before(c.activeSince) {
 		return c.activeSince
@@ -57,7 +59,7 @@
 	return s.claimChangedAt
 }
 
-// rank returns the number of entries before this one in a shard's order, which follows a hash of the name and the shard.
+// rank returns the number of entries that rank before this one for a shard, by a hash of the entry's name and the shard.
 func (c *Coordinator) rank(s *shard) int {
 	weight := func(name string) uint64 { return xxhash.Sum64(append([]byte(name), '/', byte(s.number))) }
 	rank, own := 0, weight(c.self.Owner)
@@ -76,14 +78,14 @@
 	}
 	won, ok := e.Result.(ClaimWon)
 	if !ok {
-		// If the claim is written later, or another entry's is, the watch of the store reports it.
+		// If this claim or that of another entry is written after all, the watch of the store reports it.
 		s.state = unowned
 		return
 	}
 	c.claimWon(now, s, won.Token)
 }
 
-// claimWon records that a shard is claimed here and loads it.
+// claimWon records that this entry has claimed a shard and loads the shard.
 func (c *Coordinator) claimWon(now time.Time, s *shard, token Token) {
 	s.clear()
 	s.token, s.claimedAt = token, now
@@ -95,7 +97,7 @@
 	c.load(now, s)
 }
 
-// isOwn reports whether a claim is this process's, under the lease that it holds.
+// isOwn reports whether a claim was made by this process under its current lease.
 func (c *Coordinator) isOwn(claim Claim) bool {
 	isSelf := claim.Owner == c.self.Owner && claim.Incarnation == c.self.Incarnation
 	return isSelf && c.lease.id != 0 && claim.Lease == c.lease.id
@@ -110,14 +112,14 @@
 	s.setClaim(now, claim.Token, &claim)
 	switch {
 	case c.isOwn(claim) && !s.isHeld():
-		// The answer to the claim was lost, or comes later.
+		// The answer to the claim call was lost or has not arrived yet.
 		c.claimWon(now, s, claim.Token)
 	case c.isOwn(claim) && claim.Token == s.token:
-		// It is the claim that is held.
+		// This is the claim that is already held.
 	case s.state == claiming:
 		s.state = unowned
 	case s.isHeld():
-		c.loseShard(s, "the claim is "+claim.Owner+"'s")
+		c.loseShard(s, "the claim in the store is "+claim.Owner+"'s")
 	}
 }
 
@@ -127,8 +129,8 @@
 		return
 	}
 	s.setClaim(now, e.Token, nil)
-	// A held token is not above claimRevision, so the removal is later than the claim that is held.
+	// The token of a held shard is at most claimRevision, so the removal is later than the held claim.
 	if s.isHeld() {
-		c.loseShard(s, "the claim is gone")
+		c.loseShard(s, "the claim was removed from the store")
 	}
 }
--- a/internal/durable/lease.go
+++ b/internal/durable/lease.go
@@ -7,21 +7,21 @@
 
 // An entry holds one lease of the store, to which all its claims are bound.
 //
-// Inputs: Limits.LeaseTime, the store's answers, and when each call was made, on this process's steady clock.
+// Inputs: Limits.LeaseTime, the store's answers, and when each call was made by this process's monotonic clock.
 //
-// Rule: the lease is renewed renewalsPerLease times in its length, and every storeRetryInterval while the store does not
-// answer. The owner stops relying on it a safety margin before the store may let it expire: then it drops all shards,
-// whatever else is going on, and so does a process that was frozen, before it does anything else.
+// Rule: the lease is renewed renewalsPerLease times per lease time, and every storeRetryInterval while the store does not
+// answer. The owner treats it as expired a safety margin before the store may expire it, and then drops all shards
+// unconditionally. A process that was frozen checks this before it does anything else.
 //
-// Reason: another entry may claim the shards once the store's lease has expired. An owner that still believed in its lease
-// would start runs that the new owner starts too. Writes alone would be safe, they carry the fencing token.
+// Reason: another entry may claim the shards once the lease has expired in the store. An owner that still relied on its lease
+// would start runs that the new owner starts as well. The fencing token protects only the writes to the store.
 
 const (
-	// renewalsPerLease is the number of renewals in the length of a lease: with 6 s, one a second. Five may fail before the lease expires,
-	// and the rate fits the store's.
+	// renewalsPerLease is the number of renewals per lease time: one a second for a lease of 6 s. Five may fail before the lease
+	// expires, and the rate stays within that of the store.
 	renewalsPerLease = 6
-	// leaseSafetyDivisor gives the part of a lease that is not relied on, one in 20: more than the drift of two clocks of two percent each
-	// (see timing.ClockDriftDivisor), the store's and this VM's.
+	// leaseSafetyDivisor gives the safety margin, 1/20 of the lease time: more than the clocks of the store and of this VM can
+	// diverge, at two percent each (see timing.ClockDriftDivisor).
 	leaseSafetyDivisor = 20
 )
 
@@ -29,16 +29,16 @@
 type heldLease struct {
 	// id is 0 if no lease is held.
 	id Lease
-	// validUntil is when the lease may have expired.
+	// validUntil is the earliest time at which the lease may have expired, less the safety margin.
 	validUntil time.Time
-	// lastSent is when the last call for the lease was made, and inFlight is set until it is answered.
+	// lastSent is when the last call to request or renew the lease was made, and inFlight is set until it is answered.
 	lastSent time.Time
 	inFlight bool
 	// unanswered is set if the store did not answer the last call.
 	unanswered bool
 }
 
-// renewLease requests a lease or renews it if that is due. No new one is requested during shutdown.
+// renewLease requests or renews the lease if that is due. During shutdown no new lease is requested.
 func (c *Coordinator) renewLease(now time.Time) {
 	isShuttingDown := !c.shutdownAt.IsZero()
 	switch {
@@ -72,14 +72,14 @@
 		c.lease.id = result.Lease
 		c.lease.validUntil = e.Sent.Add(result.Time - result.Time/leaseSafetyDivisor)
 	case LeaseExpired:
-		c.dropLease("the store says that the lease is over")
+		c.dropLease("the lease has expired in the store")
 	case LeaseUnknown:
 		c.lease.unanswered = true
 	}
 }
 
-// endDroppedLease ends a lease that was dropped while a call for it was in flight: if the call renewed it, its claims would
-// live on without an owner.
+// endDroppedLease ends a lease that was dropped while a call for it was in flight. If that call renewed it, its claims would
+// otherwise remain in the store without an owner.
 func (c *Coordinator) endDroppedLease(e LeaseAnswered) {
 	if granted, ok := e.Result.(LeaseGranted); ok {
 		c.emit(EndLease{Lease: granted.Lease})
@@ -89,7 +89,7 @@
 // expireLease drops the lease if it may have expired.
 func (c *Coordinator) expireLease(now time.Time) {
 	if c.lease.id != 0 && now.After(c.lease.validUntil) {
-		c.dropLease("the lease may have run out")
+		c.dropLease("the lease was not renewed in time and may have expired")
 	}
 }
 
