--- a/internal/durable/commit.go
+++ b/internal/durable/commit.go
@@ -10,43 +10,42 @@
 	"sailhead/internal/durable/durablepb"
 )
 
-// Changes of all shards are written together in commits.
+// Changes of several shards are written together in commits (group commit).
 //
 // Inputs: the queued changes of the owned shards, the number of known entries, Limits.Commits.
 //
-// Rule: one commit is in flight at a time. Two of them are at least entries/Commits seconds apart, so that all entries
-// together stay below Commits a second. A commit that the store did not confirm is repeated unchanged, under the same
-// sequences, every commitRetryInterval until it is known to be written or not. If a claim has changed, the store writes
-// nothing: the shards concerned are lost, and the changes of the others go into the next commit.
+// Rule: one commit is in flight at a time. Commits are at least entries/Commits seconds apart, so that all entries together
+// stay below Commits a second. A commit that the store did not confirm is retried unchanged, with the same sequences, every
+// commitRetryInterval until its result is known. If a claim has changed, the store writes nothing: the shards concerned are
+// lost, and the changes of the others go into a later commit.
 //
-// Reason: requests wait for the commit, so it starts as soon as the rate allows, with all that is queued. An unconfirmed
-// commit may be written: its repetition meets its own batches then, which tells that it is. A different commit under the same
-// sequences would be taken for written although it is not.
+// Reason: requests wait for the commit, so it starts as soon as the rate allows, with as many queued changes as fit. An
+// unconfirmed commit may have been written: its retry then finds its own batches in the store, which confirms it. A different
+// commit with the same sequences would be reported as written although it is not.
 
 const (
-	// maxTransactionEntries is the largest number of entries in a transaction of the store. A part takes partEntries: the claim, the free
-	// key of the batch, and the batch; one that releases its shard takes releaseEntries more, for the removal of the claim. A
-	// removed batch takes one.
+	// maxTransactionEntries is the largest number of comparisons and operations in a transaction of the store. A part takes
+	// partEntries: the comparisons of the claim and of the batch's key, which must not exist, and the put of the batch. A part
+	// that releases its shard takes releaseEntries more, for the removal of the claim. A removed batch takes one.
 	maxTransactionEntries = 32
 	partEntries           = 3
 	releaseEntries        = 1
-	// maxRemovedBatches bounds the batches that a commit removes.
+	// maxRemovedBatches is the largest number of batches that a commit removes.
 	maxRemovedBatches = 8
-	// commitRetryInterval is the time between two tries of a commit that was not confirmed: ten times as long as the store takes to answer
-	// while it is in order.
+	// commitRetryInterval is the time between retries of an unconfirmed commit: ten times the usual response time of the store.
 	commitRetryInterval = 40 * time.Millisecond
 )
 
 // inFlightCommit is the commit in flight.
 type inFlightCommit struct {
 	commit Commit
-	// changes are those of each part of the commit.
+	// changes holds the changes of each part of the commit.
 	changes [][]*change
 	// retryAt is when the commit is sent again, or zero while an answer is awaited.
 	retryAt time.Time
 }
 
-// commitIfDue starts a commit, or repeats the one in flight.
+// commitIfDue starts a commit or retries the one in flight.
 func (c *Coordinator) commitIfDue(now time.Time) {
 	switch {
 	case c.commit != nil:
@@ -71,13 +70,13 @@
 	return entries * time.Second / commits
 }
 
-// startCommit writes the queued changes, if there are any.
+// startCommit writes queued changes of as many shards as fit into a transaction.
 func (c *Coordinator) startCommit(now time.Time) {
 	c.commitNumber++
-	open := &inFlightCommit{commit: Commit{Number: c.commitNumber}}
+	inFlight := &inFlightCommit{commit: Commit{Number: c.commitNumber}}
 	removals, entries := maxRemovedBatches, maxTransactionEntries-maxRemovedBatches
 	for i := range c.shards {
-		// Each commit starts with another shard, so that all get their turn.
+		// Each commit starts with a different shard, so that no shard is starved.
 		s := c.shards[(uint64(i)+c.commitNumber)%Shards]
 		if s.state != owned || len(s.queue) == 0 || entries < s.nextPartEntries() {
 			continue
@@ -85,17 +84,17 @@
 		entries -= s.nextPartEntries()
 		part, changes := s.nextPart(removals)
 		removals -= len(part.Remove)
-		open.commit.Parts = append(open.commit.Parts, part)
-		open.changes = append(open.changes, changes)
+		inFlight.commit.Parts = append(inFlight.commit.Parts, part)
+		inFlight.changes = append(inFlight.changes, changes)
 	}
-	if len(open.commit.Parts) == 0 {
+	if len(inFlight.commit.Parts) == 0 {
 		return
 	}
-	c.commit, c.lastCommit = open, now
-	c.emit(open.commit)
+	c.commit, c.lastCommit = inFlight, now
+	c.emit(inFlight.commit)
 }
 
-// nextPartEntries returns how many entries the next part of the shard takes at most, without its removals.
+// nextPartEntries returns the largest number of transaction entries that the shard's next part takes, without removed batches.
 func (s *shard) nextPartEntries() int {
 	if s.releasing {
 		return partEntries + releaseEntries
@@ -103,7 +102,7 @@
 	return partEntries
 }
 
-// nextPart takes the next batch off the queue and returns the part of the commit that writes it.
+// nextPart removes the changes of the next batch from the queue and returns the part of a commit that writes it.
 func (s *shard) nextPart(maxRemovals int) (Part, []*change) {
 	changes := s.nextBatch()
 	part := Part{Shard: s.number, Token: s.token, Sequence: s.nextSequence, Data: encodeBatch(recordsOf(changes))}
@@ -143,7 +142,7 @@
 	}
 }
 
-// partWritten applies the changes of a written batch, unless the shard was lost since.
+// partWritten applies the changes of a written batch, unless the shard was lost in the meantime.
 func (c *Coordinator) partWritten(now time.Time, part Part, changes []*change) {
 	s := c.shards[part.Shard]
 	if !s.isHeldUnder(part.Token) {
@@ -160,7 +159,8 @@
 	}
 }
 
-// changeWritten carries out what waited for the write of a change: effects, the start of an accepted job, and answers.
+// changeWritten carries out what was deferred until a change was written: its effects, the start of an accepted job, and
+// answers to requests.
 func (c *Coordinator) changeWritten(ch *change) {
 	for _, effect := range ch.effects {
 		c.emit(effect)
@@ -174,7 +174,7 @@
 		c.emit(ToDispatcher{Event: j.forDispatcher(time.Time{})})
 	}
 	if j.state.IsEnd() && j.unwritten > 0 {
-		// The waiters are answered with the end, which is not written yet.
+		// The waiters are answered once the end of the job is written.
 		return
 	}
 	for _, waiter := range j.waiters {
@@ -183,19 +183,19 @@
 	j.waiters = nil
 }
 
-// commitRejected handles a commit of which nothing was written because the claims of some shards have changed. Those are
-// lost; the changes of the others are queued again and reuse their sequences.
-func (c *Coordinator) commitRejected(open *inFlightCommit, lost []Shard) {
-	for i, part := range open.commit.Parts {
+// commitRejected handles a commit that the store rejected because the claims of some shards have changed. Those shards are
+// lost; the changes of the others are queued again with the same sequences.
+func (c *Coordinator) commitRejected(inFlight *inFlightCommit, lost []Shard) {
+	for i, part := range inFlight.commit.Parts {
 		s := c.shards[part.Shard]
 		switch {
 		case !s.isHeldUnder(part.Token):
 		case slices.Contains(lost, part.Shard):
-			c.loseShard(s, "the store holds another claim")
+			c.loseShard(s, "a commit was fenced by another claim")
 		default:
 			s.nextSequence = part.Sequence
 			s.removable = append(s.removable, part.Remove...)
-			s.requeue(open.changes[i])
+			s.requeue(inFlight.changes[i])
 		}
 	}
 }
--- a/internal/durable/recovery.go
+++ b/internal/durable/recovery.go
@@ -11,27 +11,28 @@
 	"sailhead/internal/timing"
 )
 
-// A new owner reads the shard and makes sure that the earlier owner's runs have ended before it starts any.
+// A new owner reads the shard and ensures that the runs of the previous owner have ended before it starts any.
 //
-// Inputs: the shard's batches, whose newest Owned record names the earlier owner; that owner's answer to a surrender call;
+// Inputs: the shard's batches, whose newest Owned record names the previous owner; that owner's answer to a surrender call;
 // when this entry claimed the shard; Limits.LeaseTime.
 //
 // Rule: runs may start
 //
-//	at once                                        if there was no owner, or it released the shard with no run left
-//	timing.RecoveryDelay from now                  if the owner was this entry's earlier process, at the same address,
-//	                                               or if the owner surrendered, or its address refuses connections
-//	LeaseTime after the claim, and RecoveryDelay   if the owner did not answer
+//	at once                                  if there was no owner, or it released the shard with no run left
+//	after timing.RecoveryDelay               if the owner was an earlier process of this entry at the same address,
+//	                                         or if the owner surrendered, or its address refuses connections
+//	LeaseTime + RecoveryDelay after the      if the owner did not answer
+//	claim
 //
-// State queries are answered once the shard is loaded. Jobs are accepted and cancelled once the earlier owner has surrendered
-// or failed to answer, or at once if there is none to call.
+// State queries are answered once the shard is loaded. Jobs are accepted and cancelled once the previous owner has surrendered
+// or the call to it has failed, or at once if there is no owner to call.
 //
-// Reason: an owner that does not answer may be cut off and still serve the shard. LeaseTime after this entry's claim it has
-// either learned from the store that its own claim is gone, or renewed nothing since and dropped the shard. Its agents then
-// stop the runs within timing.SessionLease and report ends that were not recorded; RecoveryDelay covers both.
+// Reason: an owner that does not answer may be partitioned and still serve the shard. LeaseTime after this entry's claim, it has
+// either learned from the store that its own claim was removed, or has failed to renew its lease and dropped the shard. Its
+// agents then stop the runs within timing.SessionLease and report ends that were not recorded; RecoveryDelay covers both.
 
-// loadRetryInterval is the time after which a shard that is not loaded is read again. The earlier read may still be in flight then: the
-// first that succeeds counts.
+// loadRetryInterval is the time after which the read of a shard is repeated. The earlier read may still be in flight; the first
+// successful one is used.
 const loadRetryInterval = time.Second
 
 // load reads the batches of a claimed shard.
@@ -40,7 +41,7 @@
 	c.emit(Load{Shard: s.number, Token: s.token})
 }
 
-// loadIfDue reads a shard again that could not be loaded.
+// loadIfDue repeats the read of a shard that is not loaded yet.
 func (c *Coordinator) loadIfDue(now time.Time, s *shard) {
 	if s.state == loading && now.Sub(s.lastAttempt) >= loadRetryInterval {
 		c.load(now, s)
@@ -63,8 +64,9 @@
 	c.takeOver(now, s)
 }
 
-// shardUnreadable forgets what was decoded of a shard and leaves it loading. The claim is kept, as no entry of this version
-// could read the shard, and nothing is written, so that a version that can read it finds everything.
+// shardUnreadable discards what was decoded of a shard and leaves it in the loading state. The claim is kept, because no other
+// entry of this version could read the shard either. Nothing is written, so that a version that can decode the shard finds all
+// of its batches.
 func (c *Coordinator) shardUnreadable(s *shard, err error) {
 	token := s.token
 	s.clear()
@@ -72,14 +74,14 @@
 	c.logDecision(s, DecisionUnreadable, err.Error())
 }
 
-// takeOver starts to serve a loaded shard, or asks its earlier owner to stop first.
+// takeOver starts to serve a loaded shard, or first asks its previous owner to surrender it.
 func (c *Coordinator) takeOver(now time.Time, s *shard) {
 	earlier := s.lastOwner
 	switch {
 	case earlier == nil || earlier.Released:
 		c.serveShard(s, time.Time{})
 	case earlier.Name == c.self.Owner && earlier.Address == c.self.Address:
-		// This process listens at the address of the earlier one, so that one is gone.
+		// This process listens at the address of the previous one, which has therefore exited.
 		c.serveShard(s, now.Add(timing.RecoveryDelay))
 	default:
 		s.state = awaitingSurrender
@@ -99,7 +101,7 @@
 	c.serveShard(s, stoppedAt.Add(timing.RecoveryDelay))
 }
 
-// serveShard starts to serve a shard. Its jobs may run from notBefore on; zero is at once.
+// serveShard starts to serve a shard. Its jobs may run from notBefore on, or at once if that is zero.
 func (c *Coordinator) serveShard(s *shard, notBefore time.Time) {
 	s.state = owned
 	s.enqueue(nil, c.ownedRecord(false))
@@ -111,13 +113,13 @@
 	c.logDecision(s, DecisionOwned, "")
 }
 
-// ownedRecord returns the record that makes this entry a shard's owner, or the one that it leaves on release.
+// ownedRecord returns the record that names this entry as the owner of a shard, or as the one that has released it.
 func (c *Coordinator) ownedRecord(isReleased bool) *durablepb.Record {
 	owned := &durablepb.Owned{Name: c.self.Owner, Address: c.self.Address, Released: isReleased}
 	return &durablepb.Record{Record: &durablepb.Record_Owned{Owned: owned}}
 }
 
-// dropJobs makes the dispatcher stop and forget the unfinished jobs of a shard.
+// dropJobs makes the dispatcher stop and remove the unfinished jobs of a shard.
 func (c *Coordinator) dropJobs(s *shard) {
 	var ids []string
 	for id, j := range s.jobs {
--- a/internal/durable/release.go
+++ b/internal/durable/release.go
@@ -7,17 +7,18 @@
 
 // An owner stops serving a shard in one of three ways.
 //
-//	loss       at once: the lease may have expired, the claim is gone or another's, or a write met another claim
-//	surrender  at once: the entry that has claimed the shard since calls for it
+//	loss       at once: the lease may have expired, the claim was removed or replaced, or a write was fenced
+//	surrender  at once: at the request of the entry that has claimed the shard since
 //	release    at shutdown: once no run of a durable job is left, or at ShutdownRequested.Until
 //
-// Loss and surrender write nothing. A release is written with the removal of the claim, in one commit, and says whether runs
-// may be left; if none are, the next owner starts at once (recovery.go). The shards are not divided further: all wait until
-// the last run of the entry has ended.
+// Loss and surrender write nothing. A release is written in one commit with the removal of the claim, and records whether runs
+// may be left. If none are, the next owner starts runs at once (recovery.go). Shards are not released one by one: all wait
+// until the last run of a durable job of this entry has ended.
 //
-// Reason for the wait: a run that is stopped is lost work.
+// Reason for the wait: stopping a run loses its work.
 
-// loseShard stops serving a shard at once. Requests that wait for a write get InDoubt: the write may have succeeded.
+// loseShard stops serving a shard at once. Requests that wait for a write are answered with InDoubt, because the write may have
+// succeeded.
 func (c *Coordinator) loseShard(s *shard, reason string) {
 	c.logDecision(s, DecisionLost, reason)
 	c.dropJobs(s)
@@ -29,7 +30,7 @@
 	s.clear()
 }
 
-// surrender stops serving a shard for the entry that holds a later claim of it. A call with an old token changes nothing.
+// surrender stops serving a shard at the request of an entry with a later claim. A request with an older token changes nothing.
 func (c *Coordinator) surrender(e SurrenderRequested) {
 	s := c.shards[e.Shard]
 	if s.isHeld() && s.token < e.Token {
@@ -38,7 +39,8 @@
 	c.emit(SurrenderReply{Waiter: e.Waiter})
 }
 
-// releaseShards releases all shards, and ends the lease once none is left. Runs is the number of runs of durable jobs.
+// releaseShards releases all shards, and ends the lease once no shard is owned. It waits while there are runs of durable jobs,
+// until shutdownAt at the latest.
 func (c *Coordinator) releaseShards(now time.Time, runs int) {
 	if runs > 0 && now.Before(c.shutdownAt) {
 		return
@@ -59,7 +61,7 @@
 	}
 }
 
-// releaseShard stops the jobs of a shard and queues the record of its release, once.
+// releaseShard stops the jobs of a shard and queues the record of its release. Further calls do nothing.
 func (c *Coordinator) releaseShard(s *shard, runs int) {
 	if s.releasing {
 		return
