--- a/internal/durable/batch.go
+++ b/internal/durable/batch.go
@@ -11,19 +11,19 @@
 	"sailhead/internal/durable/durablepb"
 )
 
-// maxBatchSize is the largest size of a batch in bytes, unless a single record is larger.
+// maxBatchSize is the largest size of a batch in bytes. A single larger record is written in a batch of its own.
 const maxBatchSize = 256 << 10
 
-// change is a record to be written, with the effects that wait for its write.
+// change is a record to be written, with the effects that are emitted once it is written.
 type change struct {
 	record *durablepb.Record
-	// job is the job of the record, or nil.
+	// job is the job that the record belongs to, or nil.
 	job     *job
 	effects []Effect
 }
 
-// enqueue queues a change. It replaces a queued change of the same job, unless that is its acceptance: the newest record of a job
-// holds all of its progress.
+// enqueue queues a change. It replaces a queued change of the same job, because the newest record of a job holds all of its
+// progress. A queued acceptance is not replaced.
 func (s *shard) enqueue(j *job, record *durablepb.Record, effects ...Effect) {
 	if j != nil && j.queuedChange != nil && j.queuedChange.record.GetAccepted() == nil {
 		j.queuedChange.record = record
@@ -38,7 +38,7 @@
 	}
 }
 
-// nextBatch takes the changes of the next batch off the queue.
+// nextBatch removes the changes of the next batch from the queue and returns them.
 func (s *shard) nextBatch() []*change {
 	size, count := 0, 0
 	for _, ch := range s.queue {
@@ -56,13 +56,12 @@
 	return taken
 }
 
-// requeue puts the changes of a rejected commit back before those that were queued since, so that a job's records keep their
-// order.
+// requeue puts the changes of a rejected commit back at the head of the queue, so that the records of a job keep their order.
 func (s *shard) requeue(changes []*change) {
 	s.queue = append(slices.Clone(changes), s.queue...)
 }
 
-// batchWritten records which batches are in the store after a part was written.
+// batchWritten updates the set of stored batches after a part was written.
 func (s *shard) batchWritten(part Part) {
 	s.stored[part.Sequence] = true
 	for _, removed := range part.Remove {
@@ -70,10 +69,11 @@
 	}
 }
 
-// retainBatch counts one more record of use in a batch.
+// retainBatch increments the number of live records in a batch.
 func (s *shard) retainBatch(batch Sequence) { s.recordCounts[batch]++ }
 
-// releaseBatch counts one less, and makes the batch removable if none is left. 0 is no batch.
+// releaseBatch decrements the number of live records in a batch, and makes the batch removable if none is left. Sequence 0 is
+// ignored.
 func (s *shard) releaseBatch(batch Sequence) {
 	if batch == 0 {
 		return
--- a/internal/durable/coordinator.go
+++ b/internal/durable/coordinator.go
@@ -5,19 +5,19 @@
 
 import "time"
 
-// Limits bounds what a Coordinator holds and how long it waits.
+// Limits configures the capacity and the timing of a Coordinator.
 type Limits struct {
-	// Jobs is the largest number of unfinished jobs owned here. Each shard may have an equal part of it.
+	// Jobs is the largest number of unfinished jobs that this entry may own. Each shard may hold an equal part of it.
 	Jobs int
 	// StatusTime is how long the state of a job can be queried after its end.
 	StatusTime time.Duration
-	// LeaseTime is the length of the store's lease. The shards of a lost VM have no owner for as long.
+	// LeaseTime is the time to live of the lease in the store. The shards of a failed VM have no owner for that long.
 	LeaseTime time.Duration
-	// Commits is the number of commits per second that all entries together may make.
+	// Commits is the largest number of commits per second of all entries together.
 	Commits int
 }
 
-// storeRetryInterval is the time between two tries of a claim, or of a lease that the store did not grant.
+// storeRetryInterval is the time between two attempts to claim a shard, or to obtain a lease that the store did not grant.
 const storeRetryInterval = 250 * time.Millisecond
 
 // Coordinator is the part of an entry that owns shards and records their jobs. It is not safe for concurrent use.
@@ -27,21 +27,21 @@
 	limits Limits
 	shards [Shards]*shard
 	lease  heldLease
-	// active is set once there are, or may be, durable jobs: until then no lease is held and nothing is claimed.
+	// active is set once there are, or may be, durable jobs. Until then no lease is held and no shard is claimed.
 	active      bool
 	activeSince time.Time
-	// storeRead is set once the claims were read from the store: until then a shard without a known claim may have one.
+	// storeRead is set once the claims have been read from the store. Until then a shard without a known claim may have one.
 	storeRead bool
 	// entries are the names of all known entries.
 	entries []string
-	// shutdownAt is when the shards must be released, or zero when running normally.
+	// shutdownAt is when the shards must be released at the latest, or zero if no shutdown is requested.
 	shutdownAt time.Time
 	// commit is the commit in flight, or nil.
 	commit       *inFlightCommit
 	lastCommit   time.Time
 	commitNumber uint64
 	stateQueries []stateQuery
-	// effects are those of the event being handled.
+	// effects collects the effects of the event that is being handled.
 	effects []Effect
 }
 
@@ -108,8 +108,8 @@
 	}
 }
 
-// Expire drops all shards if the lease may have expired, and returns the effects. The entry calls it before anything else it
-// does after a wait: the process may have been frozen meanwhile.
+// Expire drops all shards if the lease may have expired, and returns the effects. The entry calls it first after each wait,
+// because the process may have been frozen in the meantime.
 func (c *Coordinator) Expire(now time.Time) []Effect {
 	c.effects = nil
 	c.expireLease(now)
@@ -155,8 +155,8 @@
 // IsActive reports whether there are, or may be, durable jobs.
 func (c *Coordinator) IsActive() bool { return c.active }
 
-// OwnerOf returns the owner of a shard as far as it is known here; ok is false if there is none, or if this entry has claimed
-// the shard and does not serve it yet.
+// OwnerOf returns the owner of a shard that this entry knows of; ok is false if there is none, or if this entry has claimed the
+// shard but does not serve it, as while it loads or releases the shard.
 func (c *Coordinator) OwnerOf(shard Shard) (claim Claim, ok bool) {
 	s := c.shards[shard]
 	switch {
@@ -169,7 +169,7 @@
 	}
 }
 
-// Owners returns the addresses of the other entries that have claims, each once.
+// Owners returns the distinct addresses of the other entries that have claims.
 func (c *Coordinator) Owners() []string {
 	var addresses []string
 	known := make(map[string]bool)
@@ -182,7 +182,7 @@
 	return addresses
 }
 
-// Counts returns the number of shards owned here and of their unfinished jobs.
+// Counts returns the number of shards that this entry owns, and the number of their unfinished jobs.
 func (c *Coordinator) Counts() (shards, jobs int) {
 	for _, s := range c.shards {
 		if s.state == owned {
--- a/internal/durable/ends.go
+++ b/internal/durable/ends.go
@@ -8,22 +8,21 @@
 	"sailhead/internal/runner"
 )
 
-// An agent keeps the end of a durable run, and its worker keeps it too, until an entry acknowledges it.
+// The agent and the worker of a durable run retain its end until an entry acknowledges it.
 //
 // Inputs: the agent's report, the state of the job here, whether the record that holds the end is written.
 //
 // Rule: an end is acknowledged
 //
-//	at once                      if there are no durable jobs at all; if the shard's jobs are known here and this one is not
-//	                             among them, or its final state is written; or if the end changes nothing and no change of
-//	                             the job waits to be written
+//	at once                      if there are no durable jobs at all; if the shard is loaded and the job is unknown or its
+//	                             final state is written; or if the end changes nothing and no change of the job is unwritten
 //	with the write of its record otherwise
 //	not at all                   while the shard is not loaded here, or if the end changes nothing and its record is in the
 //	                             commit in flight. The agent resends it every timing.EndResendInterval to all entries, so
-//	                             that the shard's owner gets it, and gets it again.
+//	                             that the shard's owner receives it eventually.
 //
-// Reason: an end that is acknowledged and not written would be lost with this process, and the task would run again although
-// it was done. Checked by a model: spec/durable.pml fails with the rule WRITTEN left out.
+// Reason: an end that is acknowledged before it is written would be lost if this process failed, and the completed task would
+// run again. This is checked by a model: verification of spec/durable.pml fails without the rule WRITTEN.
 
 // taskEnded records the end of a run and acknowledges it once it is written.
 func (c *Coordinator) taskEnded(e TaskEnded) {
@@ -36,7 +35,7 @@
 		// There are no durable jobs.
 		c.emit(acknowledgement)
 	case !s.isLoaded():
-		// The owner of the shard acknowledges the end, or this entry does when the agent resends it.
+		// The owner of the shard acknowledges the end, or this entry does after the agent has resent it.
 	case !ok || j.storedState.IsEnd():
 		c.emit(acknowledgement)
 	case j.state.IsEnd():
@@ -46,8 +45,8 @@
 	}
 }
 
-// recordEnd queues the record of an end that changes a job. While the earlier owner's surrender is awaited the record waits
-// in the queue: only an owned shard is written.
+// recordEnd queues the record of an end that changes a job. While the previous owner's surrender is awaited, the record stays
+// in the queue, because only owned shards are written.
 func (c *Coordinator) recordEnd(s *shard, j *job, e TaskEnded, acknowledgement AcknowledgeEnd) {
 	task, ok := j.taskNumber(e.Update.Name)
 	if !ok {
@@ -63,13 +62,13 @@
 	case j.state == StateFailed:
 		c.emit(ToDispatcher{Event: dispatch.DurableDropped{Jobs: []string{j.id}}})
 	case e.Update.Unacknowledged:
-		// The report did not come through the dispatcher's own run, so the dispatcher does not know of it.
+		// The end was not reported through a run of this dispatcher, so the dispatcher does not know of it.
 		c.emit(ToDispatcher{Event: dispatch.DurableTaskEnded{Task: e.Update.Name, Failed: !j.done[task]}})
 	}
 }
 
-// acknowledgeWithRecord acknowledges an end that was recorded before: at once if all of the job is written, or with the
-// queued record. If a commit has taken the record, the agent resends the end.
+// acknowledgeWithRecord acknowledges an end that is already recorded: at once if all changes of the job are written, or with
+// its queued record. If the record is in the commit in flight, the end is not acknowledged and the agent resends it.
 func (c *Coordinator) acknowledgeWithRecord(j *job, acknowledgement AcknowledgeEnd) {
 	switch {
 	case j.unwritten == 0:
@@ -79,15 +78,15 @@
 	}
 }
 
-// jobStarted records that a job runs. That is not written: a new owner shows the job as queued until a task has ended.
+// jobStarted records that a job runs. This is not stored: a new owner reports the job as queued until a task has ended.
 func (c *Coordinator) jobStarted(e JobStarted) {
 	if j, ok := c.shards[ShardOf(e.Job)].jobs[e.Job]; ok {
 		j.started = true
 	}
 }
 
-// failJob records that a job has failed. A job of a shard that is no longer served here is left to its owner, which hears of
-// the crashes too.
+// failJob records that a job has failed. A job of a shard that is no longer held here is left to its owner, which is also
+// notified of the crashes.
 func (c *Coordinator) failJob(e JobGivenUp) {
 	s := c.shards[ShardOf(e.Job)]
 	j, ok := s.jobs[e.Job]
