--- a/internal/durable/admission.go
+++ b/internal/durable/admission.go
@@ -12,15 +12,15 @@
 //
 // Inputs: the job's id, the jobs of its shard, Limits.Jobs.
 //
-// Rule: a job that is known is not accepted again, its state answers. A new one is refused if the shard has its part of
-// Limits.Jobs unfinished. The answer to a caller waits until the change is written.
+// Rule: a known job is not accepted again; the submission is answered with its state. A new job is refused if the number of
+// unfinished jobs of the shard has reached its part of Limits.Jobs. Callers are answered once the change is written.
 //
-// Reason: the limit bounds the memory, and each shard has its own part of it so that admission does not depend on which other shards the
-// entry owns.
+// Reason: the limit bounds the memory. Each shard has an equal part of it, so that admission does not depend on which other
+// shards the entry owns.
 
 func (c *Coordinator) maxJobsPerShard() int { return c.limits.Jobs / Shards }
 
-// submit accepts a job and answers once that is written.
+// submit accepts a job and answers once the acceptance is written.
 func (c *Coordinator) submit(e Submitted) {
 	s := c.shards[ShardOf(e.Job.ID)]
 	j, ok := s.jobs[e.Job.ID]
@@ -45,7 +45,7 @@
 	s.enqueue(j, &durablepb.Record{Record: &durablepb.Record_Accepted{Accepted: PackJob(e.Job)}})
 }
 
-// cancel ends a job and answers once that is written. A job that has ended keeps its state.
+// cancel cancels a job and answers once the cancellation is written. A job that has ended keeps its state.
 func (c *Coordinator) cancel(e CancelRequested) {
 	s := c.shards[ShardOf(e.Job)]
 	j, ok := s.jobs[e.Job]
--- a/internal/durable/job.go
+++ b/internal/durable/job.go
@@ -16,7 +16,7 @@
 type job struct {
 	id   string
 	kind string
-	// submitted is the job as accepted; zero once its end is written.
+	// submitted is the job as accepted. It is cleared once the end of the job is written.
 	submitted dispatch.Job
 	// taskNames are the names of the tasks; a task's number is its index.
 	taskNames []string
@@ -24,22 +24,23 @@
 	failed    []*durablepb.FailedRun
 	// started is set once a task has started.
 	started bool
-	// state is the decided state, and storedState the one in the store; that is 0 until the acceptance is written. Both are
-	// StateQueued or an end: visibleState tells a running job from a queued one.
+	// state is the state including unwritten changes, and storedState the one in the store, which is 0 until the acceptance is
+	// written. Both are StateQueued or a final state; visibleState distinguishes running jobs from queued ones.
 	state       State
 	storedState State
-	// waiters wait for the acceptance or the cancellation to be written.
+	// waiters are the requests that are answered once the acceptance or the cancellation is written.
 	waiters []Waiter
-	// queuedChange is the job's newest change if no commit has taken it yet, and unwritten counts its changes that are not written.
+	// queuedChange is the job's newest change if it is not in a commit yet, and unwritten counts the job's changes that are not
+	// written.
 	queuedChange *change
 	unwritten    int
-	// acceptedBatch, progressBatch and endedBatch are the batches that hold the job's records of use; 0 is none.
+	// acceptedBatch, progressBatch and endedBatch are the batches that hold the job's live records; 0 means none.
 	acceptedBatch Sequence
 	progressBatch Sequence
 	endedBatch    Sequence
 	// originBatch is the batch that held the acceptance of an ended job.
 	originBatch Sequence
-	// endedAt is when the end was written or read.
+	// endedAt is when the end was written, or when it was read from the store.
 	endedAt time.Time
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// visibleState returns the state that callers see: an end only once it is written.
+// visibleState returns the state that is reported to callers. A final state is reported only once it is written.
 func (j *job) visibleState() State {
 	switch {
 	case j.storedState.IsEnd():
@@ -62,22 +63,22 @@
 	}
 }
 
-// taskNumber returns the number of a task; ok is false if the job has no task of the name.
+// taskNumber returns the number of the task with the given name; ok is false if the job has no such task.
 func (j *job) taskNumber(name string) (number uint32, ok bool) {
 	at := slices.Index(j.taskNames, name)
 	return uint32(max(at, 0)), at >= 0
 }
 
-// Runs that end decide the state of a job.
+// The ends of runs determine the state of a job.
 //
-// Inputs: the tasks that are done, the failed runs of each task, Kind.Attempts (runs of a task, from 1).
+// Inputs: the tasks that are done, the failed runs of each task, Kind.Attempts (the allowed runs of a task, at least 1).
 //
 // Rule: the job is completed once all tasks are done, and failed once one task has as many failed runs as the kind allows
-// attempts. A failed run counts once, however often it is reported: it is identified by task, number and agent. Runs that
-// were stopped or lost do not count, they are not reported here. The failed runs are stored, so that a new owner
-// continues the count.
+// attempts. A failed run is identified by task, number and agent, and counts once even if it is reported repeatedly. Runs that
+// were stopped or lost are not reported here and do not count. The failed runs are stored, so that a new owner continues the
+// count.
 
-// applyEnd records the end of a run, and reports whether it changed anything.
+// applyEnd records the end of a run, and reports whether the job changed.
 func (j *job) applyEnd(task uint32, e TaskEnded) bool {
 	switch {
 	case j.done[task]:
@@ -94,7 +95,7 @@
 	return true
 }
 
-// decideState sets the state after a run of a task has ended.
+// decideState updates the state of the job after a run of a task has ended.
 func (j *job) decideState(task uint32) {
 	switch {
 	case len(j.done) == len(j.taskNames):
@@ -104,7 +105,7 @@
 	}
 }
 
-// hasFailed reports whether a failed run is recorded already.
+// hasFailed reports whether a failed run is already recorded.
 func (j *job) hasFailed(task uint32, e TaskEnded) bool {
 	return slices.ContainsFunc(j.failed, func(f *durablepb.FailedRun) bool {
 		return f.Task == task && f.Run == e.Update.Run && f.Agent == string(e.Agent)
@@ -122,7 +123,7 @@
 	return count
 }
 
-// restoreProgress replaces the job's progress by a stored one.
+// restoreProgress replaces the progress of the job with stored progress.
 func (j *job) restoreProgress(progress *durablepb.Progress) {
 	j.done = make(map[uint32]bool)
 	for _, task := range progress.Done {
@@ -132,7 +133,7 @@
 	j.started = true
 }
 
-// record returns the job's newest record: its end or its progress.
+// record returns the record of the job's current state: its end, or its progress if it has not ended.
 func (j *job) record() *durablepb.Record {
 	if j.state.IsEnd() {
 		ended := &durablepb.Ended{Id: j.id, State: stateToPB[j.state]}
@@ -146,7 +147,7 @@
 	return &durablepb.Record{Record: &durablepb.Record_Progress{Progress: progress}}
 }
 
-// forDispatcher returns the event that makes the dispatcher run the rest of the job, from notBefore on.
+// forDispatcher returns the event that makes the dispatcher run the remaining tasks of the job, from notBefore on.
 func (j *job) forDispatcher(notBefore time.Time) dispatch.DurableAccepted {
 	accepted := dispatch.DurableAccepted{Job: j.submitted, Failures: make(map[string]int), NotBefore: notBefore}
 	for task, name := range j.taskNames {
@@ -160,7 +161,7 @@
 	return accepted
 }
 
-// releaseMemory drops what only an unfinished job needs.
+// releaseMemory clears the fields that only an unfinished job needs.
 func (j *job) releaseMemory(now time.Time) {
 	j.endedAt = now
 	j.submitted = dispatch.Job{}
--- a/internal/durable/query.go
+++ b/internal/durable/query.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// A state query of an unfinished job waits for the job's end.
+// State queries use long polling: a query for an unfinished job waits for the end of the job.
 //
 // Inputs: the job's written state, the age of the query.
 //
-// Rule: the query is answered at once if the job has ended, is unknown, is not written yet, or is not loaded here. Otherwise
-// it is answered when one of these becomes true, or after stateQueryTimeout with the state at that time.
+// Rule: the query is answered at once if the job has ended, is unknown, is not written yet, or belongs to a shard that is not
+// loaded here. Otherwise it is answered when one of these becomes true, or with the current state after stateQueryTimeout.
 //
-// Reason: callers query when they expect the end, and query again much later if it is not there.
+// Reason: callers query when they expect the job to have ended, and wait much longer before they query again.
 
-// stateQueryTimeout is the longest wait of a state query.
+// stateQueryTimeout is the longest time that a state query waits for the end of the job.
 const stateQueryTimeout = 150 * time.Millisecond
 
-// stateQuery is a state query that waits.
+// stateQuery is a waiting state query.
 type stateQuery struct {
 	job      string
 	waiter   Waiter
 	deadline time.Time
 }
 
-// queryState answers a state query, or lets it wait.
+// queryState answers a state query, or queues it if the job is unfinished.
 func (c *Coordinator) queryState(now time.Time, e StateRequested) {
 	answer := c.stateOf(e.Job)
 	if isUnfinished(answer) {
@@ -37,7 +37,7 @@
 	c.emit(Reply{Waiter: e.Waiter, Answer: answer})
 }
 
-// answerStateQueries answers the waiting queries that are due.
+// answerStateQueries answers the waiting queries whose job is no longer unfinished or whose deadline has passed.
 func (c *Coordinator) answerStateQueries(now time.Time) {
 	c.stateQueries = slices.DeleteFunc(c.stateQueries, func(q stateQuery) bool {
 		answer := c.stateOf(q.job)
@@ -54,7 +54,7 @@
 	return ok && !known.State.IsEnd()
 }
 
-// stateOf returns the answer to a state query as of now.
+// stateOf returns the answer to a state query with the current state of the job.
 func (c *Coordinator) stateOf(id string) Answer {
 	s := c.shards[ShardOf(id)]
 	j, ok := s.jobs[id]
@@ -70,9 +70,9 @@
 	}
 }
 
-// replyPending answers with the number of accepted jobs of a kind that have not started a task. The count is complete only
-// if this entry owns every shard that other entries may believe to be its own: one that is still loading a shard does not
-// know its jobs.
+// replyPending answers with the number of accepted jobs of a kind that have not started a task. The count is complete only if
+// this entry owns every shard that other entries may attribute to it: the jobs of a shard that is still being loaded are not
+// known.
 func (c *Coordinator) replyPending(e PendingRequested) {
 	reply := PendingReply{Waiter: e.Waiter, IsComplete: true}
 	for _, s := range c.shards {
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -15,8 +15,8 @@
 	"sailhead/internal/worker"
 )
 
-// PackJob returns the stored form of a job, in which entries also send it to each other. A negative
-// priority, number of attempts or target becomes 0.
+// PackJob returns the protobuf form of a job, which is stored and sent between entries. A negative priority, number of attempts
+// or target becomes 0.
 func PackJob(j dispatch.Job) *durablepb.Job {
 	packed := &durablepb.Job{
 		Id: j.ID, Kind: j.Kind.Name, Service: j.Kind.Service, Payload: j.Payload, Stretch: j.Kind.Stretch,
@@ -36,7 +36,7 @@
 	return packed
 }
 
-// UnpackJob returns the job of a stored form.
+// UnpackJob is the inverse of PackJob.
 func UnpackJob(packed *durablepb.Job) dispatch.Job {
 	j := dispatch.Job{ID: packed.Id, Payload: packed.Payload, Kind: dispatch.Kind{
 		Name: packed.Kind, Service: packed.Service, Priority: int(packed.Priority), Attempts: int(packed.Attempts),
@@ -55,8 +55,8 @@
 	return j
 }
 
-// taskNames returns the names of a job's tasks. The index of a name is the task's number in stored records, so the order is
-// part of the stored format.
+// taskNames returns the names of a job's tasks. The index of a name is the number of the task in stored records, so the order
+// is part of the stored format.
 func taskNames(j dispatch.Job) []string {
 	var names []string
 	for i, step := range j.Steps {
@@ -71,15 +71,15 @@
 func encodeBatch(records []*durablepb.Record) []byte {
 	data, err := proto.Marshal(&durablepb.Batch{Records: records})
 	if err != nil {
-		// Encoding fails only for strings that are not UTF-8. Those of jobs come from JSON, whose decoder
-		// replaces invalid bytes; the names of processes come from their settings.
+		// Encoding fails only for strings that are not valid UTF-8. The strings of jobs come from JSON, whose decoder replaces
+		// invalid bytes, and the names of processes come from their settings.
 		panic(fmt.Sprintf("durable: unable to encode a batch: %s", err))
 	}
 	return data
 }
 
-// decodeBatch returns the records of a stored batch. A record that this version does not know is an error: it may hold the end of a job,
-// and a job whose end is not understood has not been left unended.
+// decodeBatch returns the records of a stored batch. A record that this version does not know is an error: it may hold the end
+// of a job, which would otherwise be treated as unfinished and run again.
 func decodeBatch(data []byte) ([]*durablepb.Record, error) {
 	var batch durablepb.Batch
 	if err := proto.Unmarshal(data, &batch); err != nil {
@@ -93,7 +93,8 @@
 	return batch.Records, nil
 }
 
-// checkRecord returns an error for a record that this version does not know, or the end of a job with a state that it does not know.
+// checkRecord returns an error for a record of a type that this version does not know, or for an end without a known final
+// state.
 func checkRecord(record *durablepb.Record) error {
 	switch r := record.Record.(type) {
 	case *durablepb.Record_Owned, *durablepb.Record_Accepted, *durablepb.Record_Progress:
@@ -104,7 +105,7 @@
 		}
 		return nil
 	default:
-		return errors.New("a record of an unknown kind")
+		return errors.New("the record has an unknown type")
 	}
 }
 
@@ -114,7 +115,7 @@
 	StateCancelled: durablepb.State_STATE_CANCELLED,
 }
 
-// stateFromPB returns the state of a stored form; ok is false for one that this version does not know.
+// stateFromPB returns the state of a protobuf form; ok is false for a state that this version does not know.
 func stateFromPB(packed durablepb.State) (state State, ok bool) {
 	for state, each := range stateToPB {
 		if each == packed {
@@ -124,7 +125,7 @@
 	return 0, false
 }
 
-// PackAnswer returns the form in which entries send an answer to each other.
+// PackAnswer returns the protobuf form of an answer, which is sent between entries.
 func PackAnswer(answer Answer) *durablepb.Answer {
 	switch a := answer.(type) {
 	case Known:
@@ -142,7 +143,7 @@
 	}
 }
 
-// UnpackAnswer returns the answer of another entry. A status or state of a later version counts as InDoubt.
+// UnpackAnswer returns the answer of another entry. A status or state that this version does not know becomes InDoubt.
 func UnpackAnswer(packed *durablepb.Answer) Answer {
 	switch packed.Status {
 	case durablepb.Status_STATUS_KNOWN:
