--- a/internal/durable/effects.go
+++ b/internal/durable/effects.go
@@ -9,9 +9,8 @@
 	"sailhead/internal/dispatch"
 )
 
-// Effect is an action for the entry to carry out. The types in this file implement it. The entry makes the calls to the
-// store and to other entries in goroutines of their own and posts their results as events; it carries out the other effects
-// in order.
+// Effect is an action for the entry to carry out. The types in this file implement it. The entry makes calls to the store and
+// to other entries in separate goroutines and posts their results as events; it carries out the other effects in order.
 type Effect interface{ isEffect() }
 
 // CallLease requests a lease of Time from the store, or renews Lease if it is not 0. LeaseAnswered is its result.
@@ -20,10 +19,11 @@
 	Time  time.Duration
 }
 
-// EndLease ends a lease, and with it the claims that are bound to it. It has no result: without it the lease expires.
+// EndLease ends a lease and removes the claims that are bound to it. It has no result, because the lease expires if the call
+// fails.
 type EndLease struct{ Lease Lease }
 
-// CallClaim writes a claim if the shard has none. ClaimAnswered is its result.
+// CallClaim writes a claim if the shard has no claim. ClaimAnswered is its result.
 type CallClaim struct{ Claim Claim }
 
 // Load reads a shard's batches. Loaded is its result.
@@ -44,13 +44,13 @@
 	Token    Token
 	Sequence Sequence
 	Data     []byte
-	// Remove lists the batches that hold no record of use any more.
+	// Remove lists batches to remove, which hold no live records.
 	Remove []Sequence
 	// ReleasesClaim is set if the commit also removes the claim.
 	ReleasesClaim bool
 }
 
-// CallSurrender asks the earlier owner of a shard, at Address, to stop serving it. Surrendered is its result.
+// CallSurrender asks the previous owner of a shard, at Address, to stop serving it. Surrendered is its result.
 type CallSurrender struct {
 	Shard   Shard
 	Token   Token
@@ -67,47 +67,47 @@
 type PendingReply struct {
 	Waiter Waiter
 	Jobs   int
-	// IsComplete is false while the jobs of a shard that is claimed here are not loaded: Jobs may be too low then.
+	// IsComplete is false while the jobs of a shard that this entry has claimed are not loaded. Jobs may then be too low.
 	IsComplete bool
 }
 
-// SurrenderReply answers a SurrenderRequested: this entry starts nothing more for the shard.
+// SurrenderReply answers a SurrenderRequested: this entry starts no more runs for the shard.
 type SurrenderReply struct{ Waiter Waiter }
 
 // ToDispatcher passes an event to the dispatcher.
 type ToDispatcher struct{ Event dispatch.Event }
 
-// AcknowledgeEnd tells an agent that the end of a run is recorded, so that it stops resending it.
+// AcknowledgeEnd acknowledges the end of a run to an agent, which then stops resending it.
 type AcknowledgeEnd struct {
 	Agent dispatch.AgentID
 	Name  string
 	Run   uint32
 }
 
-// Decision names a decision in the log.
+// Decision is the type of a logged decision.
 type Decision string
 
-// The decisions, as they are written to the log's field msg.
+// The decisions, with the values that are written to the field msg of the log.
 const (
-	// DecisionOwned: the shard is served here.
+	// DecisionOwned: this entry serves the shard.
 	DecisionOwned Decision = "shard_owned"
-	// DecisionLost: the shard is not served here any more; the detail is the reason.
+	// DecisionLost: this entry no longer serves the shard; the detail is the reason.
 	DecisionLost Decision = "shard_lost"
-	// DecisionReleased: the shard was released at shutdown, and its claim is removed.
+	// DecisionReleased: the shard was released at shutdown, and its claim was removed.
 	DecisionReleased Decision = "shard_released"
-	// DecisionUnreadable: a batch of the shard cannot be decoded. Nothing of it is removed, and loading is retried.
+	// DecisionUnreadable: a batch of the shard could not be decoded. Nothing is removed, and loading is retried.
 	DecisionUnreadable Decision = "shard_unreadable"
 	// DecisionLoadFailed: the shard could not be read from the store; loading is retried.
 	DecisionLoadFailed Decision = "shard_load_failed"
 )
 
-// DecisionMade is a decision about a shard for the log.
+// DecisionMade logs a decision about a shard.
 type DecisionMade struct {
 	Decision Decision
 	Shard    Shard
-	// Token is the token under which the shard is held; 0 if it is not.
+	// Token is the token under which the shard is held, or 0 if it is not held.
 	Token Token
-	// Detail is the reason; empty if the decision needs none.
+	// Detail is the reason, or empty if the decision has none.
 	Detail string
 }
 
--- a/internal/durable/events.go
+++ b/internal/durable/events.go
@@ -13,36 +13,36 @@
 // Event is an input of a Coordinator. The types in this file implement it.
 type Event interface{ isEvent() }
 
-// Submitted is a job to accept. A Reply answers it: Known once the job is written, NotOwner or Refused if it is not accepted,
-// InDoubt if the shard was lost before the write was confirmed.
+// Submitted is a job to accept. It is answered by a Reply: Known once the job is written, NotOwner or Refused if it is not
+// accepted, InDoubt if the shard was lost before the write was confirmed.
 type Submitted struct {
 	Job    dispatch.Job
 	Waiter Waiter
 }
 
-// CancelRequested asks to cancel a job. A Reply answers it once the job's final state is written.
+// CancelRequested is a request to cancel a job. It is answered by a Reply once the final state of the job is written.
 type CancelRequested struct {
 	Job    string
 	Waiter Waiter
 }
 
-// StateRequested asks for the state of a job. A Reply answers it, after stateQueryTimeout at the latest.
+// StateRequested is a request for the state of a job. It is answered by a Reply, after stateQueryTimeout at the latest.
 type StateRequested struct {
 	Job    string
 	Waiter Waiter
 }
 
-// PendingRequested asks for the number of jobs of a kind that are owned here and have not started a task. A PendingReply
-// answers it.
+// PendingRequested is a request for the number of jobs of a kind that this entry owns and that have not started a task. It is
+// answered by a PendingReply.
 type PendingRequested struct {
 	Kind   string
 	Waiter Waiter
 }
 
-// ActivationRequested makes the coordinator claim shards without an owner: there are, or may soon be, durable jobs.
+// ActivationRequested makes the coordinator claim unowned shards, because there are, or may soon be, durable jobs.
 type ActivationRequested struct{}
 
-// TaskEnded is an agent's report that a run is done or has failed. Agents repeat it until it is acknowledged.
+// TaskEnded is an agent's report that a run is done or has failed. Agents resend it until it is acknowledged.
 type TaskEnded struct {
 	Agent  dispatch.AgentID
 	Update runner.Update
@@ -51,13 +51,13 @@
 // JobStarted reports that the first task of a job has started.
 type JobStarted struct{ Job string }
 
-// JobGivenUp reports that a job has failed because workers crashed under one of its tasks. The dispatcher has dropped it.
+// JobGivenUp reports that the dispatcher has dropped a job as failed, because workers crashed while they ran one of its tasks.
 type JobGivenUp struct{ Job string }
 
 // EntriesChanged lists the names of all known entries, this one included.
 type EntriesChanged struct{ Names []string }
 
-// StoreRead reports that the claims were read from the store. It follows the ClaimObserved and ClaimRemoved of that reading.
+// StoreRead reports that the claims were read from the store. It follows the ClaimObserved and ClaimRemoved events of that read.
 type StoreRead struct {
 	// HasJobs is set if the store has ever held a durable job.
 	HasJobs bool
@@ -74,7 +74,7 @@
 
 // LeaseAnswered is the result of a CallLease.
 type LeaseAnswered struct {
-	// Lease is the lease that was to be renewed, or 0 if a new one was requested.
+	// Lease is the lease of the renewal, or 0 if a new lease was requested.
 	Lease Lease
 	// Sent is when the call was made: the lease starts no earlier.
 	Sent   time.Time
@@ -88,7 +88,7 @@
 	Result ClaimResult
 }
 
-// Loaded is the result of a Load: the shard's batches in order, or the error that kept them from being read.
+// Loaded is the result of a Load: the shard's batches in order, or the error of the read.
 type Loaded struct {
 	Shard   Shard
 	Token   Token
@@ -108,7 +108,8 @@
 	Result CommitResult
 }
 
-// SurrenderRequested is sent by an entry that has claimed a shard under a token. A SurrenderReply answers it.
+// SurrenderRequested is a request of an entry that has claimed a shard under the given token. It is answered by a
+// SurrenderReply.
 type SurrenderRequested struct {
 	Shard  Shard
 	Token  Token
@@ -119,14 +120,15 @@
 type Surrendered struct {
 	Shard Shard
 	Token Token
-	// IsConfirmed is set if the earlier owner starts nothing more for the shard: it has confirmed that, or its process is gone.
+	// IsConfirmed is set if the previous owner starts no more runs for the shard: it has confirmed this, or its process has
+	// exited.
 	IsConfirmed bool
 }
 
-// ShutdownRequested makes the coordinator release its shards, at Until at the latest.
+// ShutdownRequested makes the coordinator release its shards by Until.
 type ShutdownRequested struct{ Until time.Time }
 
-// Ticked advances the time; the entry sends it at a regular interval.
+// Ticked triggers periodic work; the entry sends it at a regular interval.
 type Ticked struct {
 	// DurableRuns is the number of runs of durable jobs that agents have or may have.
 	DurableRuns int
--- a/internal/durable/shard.go
+++ b/internal/durable/shard.go
@@ -10,51 +10,51 @@
 	"sailhead/internal/durable/durablepb"
 )
 
-// shardState is how far this entry has come to owning a shard. The order matters: see isHeld and isLoaded.
+// shardState is the progress of this entry towards owning a shard. The order matters: see isHeld and isLoaded.
 type shardState int
 
 const (
-	// unowned: nothing is under way here.
+	// unowned: this entry neither owns the shard nor is acquiring it.
 	unowned shardState = iota
 	// claiming: a claim is in flight.
 	claiming
 	// loading: the claim is written, and the batches are being read.
 	loading
-	// awaitingSurrender: the batches are read, and the earlier owner is asked to stop serving the shard.
+	// awaitingSurrender: the batches are read, and the previous owner has been asked to stop serving the shard.
 	awaitingSurrender
 	// owned: the shard is served here.
 	owned
 )
 
-// shard is what this entry knows of a shard. The fields from token on are zero while it is not held.
+// shard is the state of a shard at this entry. The fields from token on are reset while the shard is not held.
 type shard struct {
 	number Shard
 	state  shardState
-	// claim is the claim in the store, or nil if there is none. claimRevision is the store's revision that this is known
-	// from, and claimChangedAt is when it became known.
+	// claim is the claim in the store, or nil if there is none. claimRevision is the store revision of this information, and
+	// claimChangedAt is when this entry received it.
 	claim          *Claim
 	claimRevision  Token
 	claimChangedAt time.Time
-	// claimedAt is when the shard was last claimed here, and lastTry when a claim or a read was last started.
+	// claimedAt is when this entry last claimed the shard, and lastAttempt is when a claim or a read was last started.
 	claimedAt   time.Time
 	lastAttempt time.Time
 	// token is the revision of the claim that is held here.
 	token Token
-	// releasing is set once the release at shutdown is queued.
+	// releasing is set once the record of the release at shutdown is queued.
 	releasing bool
-	// lastOwner is the newest Owned record, or nil, and lastOwnerBatch the batch that holds it.
+	// lastOwner is the newest Owned record, or nil, and lastOwnerBatch is the batch that holds it.
 	lastOwner      *durablepb.Owned
 	lastOwnerBatch Sequence
 	jobs           map[string]*job
 	// unfinished counts the jobs whose end is not written.
 	unfinished int
-	// ended are the jobs whose end is written, in the order of their ends.
+	// ended lists the jobs whose end is written, in the order of their ends.
 	ended []*job
-	// queue holds the changes that no commit has taken yet, and nextSequence is the sequence of the next batch.
+	// queue holds the changes that are in no commit yet, and nextSequence is the sequence of the next batch.
 	queue        []*change
 	nextSequence Sequence
-	// stored are the batches in the store. recordCounts has the number of records of use in each, and removable those
-	// without any.
+	// stored is the set of batches in the store. recordCounts holds the number of live records of each batch, and removable
+	// lists the batches without live records. A record is live until a later record replaces it.
 	stored       map[Sequence]bool
 	recordCounts map[Sequence]int
 	removable    []Sequence
@@ -66,7 +66,7 @@
 	return s
 }
 
-// clear forgets everything of a shard but its claim in the store.
+// clear resets everything except what is known of the claim in the store.
 func (s *shard) clear() {
 	s.state, s.token, s.releasing = unowned, 0, false
 	s.lastOwner, s.lastOwnerBatch = nil, 0
@@ -75,24 +75,24 @@
 	s.stored, s.recordCounts, s.removable = make(map[Sequence]bool), make(map[Sequence]int), nil
 }
 
-// isHeld reports whether this entry holds the shard's claim, as far as it knows.
+// isHeld reports whether this entry believes that it holds the shard's claim.
 func (s *shard) isHeld() bool { return s.state >= loading }
 
-// isHeldUnder reports whether the shard is held under a token.
+// isHeldUnder reports whether the shard is held under the given token.
 func (s *shard) isHeldUnder(token Token) bool { return s.isHeld() && s.token == token }
 
 // isLoaded reports whether the shard's jobs are known.
 func (s *shard) isLoaded() bool { return s.state >= awaitingSurrender }
 
-// isServed reports whether the shard takes jobs.
+// isServed reports whether the shard accepts jobs.
 func (s *shard) isServed() bool { return s.state == owned && !s.releasing }
 
-// setClaim records the claim in the store as of a revision; nil is none.
+// setClaim records the claim in the store as of a revision; nil means that there is none.
 func (s *shard) setClaim(now time.Time, revision Token, claim *Claim) {
 	s.claim, s.claimRevision, s.claimChangedAt = claim, revision, now
 }
 
-// restore applies the batches that earlier owners have written.
+// restore applies the batches that previous owners have written.
 func (s *shard) restore(now time.Time, batches []StoredBatch) error {
 	for _, batch := range batches {
 		s.stored[batch.Sequence] = true
@@ -118,7 +118,7 @@
 	}
 }
 
-// apply updates the shard by a record that is in the store, and returns the record's job or nil.
+// apply updates the shard with a stored record, and returns the job of the record or nil.
 func (s *shard) apply(now time.Time, record *durablepb.Record, batch Sequence) *job {
 	switch r := record.Record.(type) {
 	case *durablepb.Record_Owned:
@@ -167,11 +167,11 @@
 func (s *shard) applyEnded(now time.Time, record *durablepb.Ended, batch Sequence) *job {
 	j, ok := s.jobs[record.Id]
 	if !ok {
-		// The batch that held the job's acceptance is removed already. Its end must be known still: callers ask for the job.
+		// The batch with the acceptance of the job has been removed. The end is kept because callers may still query the job.
 		j = newJob(dispatch.Job{ID: record.Id})
 		s.addJob(j)
 	}
-	// Records that are read are checked first (decodeBatch), and this version writes only states that it knows.
+	// The state is known: decodeBatch checks the records that are read, and this version writes only states that it knows.
 	state, _ := stateFromPB(record.State)
 	s.endJob(now, j, state, batch)
 	return j
@@ -182,7 +182,7 @@
 	s.unfinished++
 }
 
-// endJob records the written end of a job. Its earlier records are of no use any more.
+// endJob records the written end of a job, which replaces the earlier records of the job.
 func (s *shard) endJob(now time.Time, j *job, state State, batch Sequence) {
 	s.retainBatch(batch)
 	s.releaseBatch(j.acceptedBatch)
@@ -200,8 +200,8 @@
 	j.releaseMemory(now)
 }
 
-// evictEnded forgets the jobs that ended before a time. The record of an end is of use while the batch with the job's
-// acceptance is in the store: without it, the acceptance would bring the job back.
+// evictEnded removes jobs that ended before a time. The record of an end stays live while the batch with the acceptance of the
+// job is in the store, because a restore from the acceptance alone would run the job again.
 func (s *shard) evictEnded(before time.Time) {
 	for len(s.ended) > 0 {
 		j := s.ended[0]
