--- a/internal/durable/answers.go
+++ b/internal/durable/answers.go
@@ -6,13 +6,13 @@
 // Answer is the answer to a request about a job: Known, Unknown, NotOwner, Refused or InDoubt.
 type Answer interface{ isAnswer() }
 
-// Known reports that the job is written and in a state.
+// Known reports that the job is written, and its state.
 type Known struct{ State State }
 
 // Unknown reports that there is no such job.
 type Unknown struct{}
 
-// NotOwner reports that the job's shard is not served here. Nothing was done, so the request can be sent elsewhere.
+// NotOwner reports that this entry does not serve the job's shard. The request had no effect and can be sent to another entry.
 type NotOwner struct{}
 
 // Refused reports that the job was not accepted and will not run.
--- a/internal/durable/client.go
+++ b/internal/durable/client.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// ownerTimeout bounds a request to another entry, which may have to wait for the store: two calls to the store that take
+	// ownerTimeout bounds a request to another entry, which may wait for two calls to the store of up to
 	// timing.StoreCallTimeout each.
 	ownerTimeout = 1500 * time.Millisecond
-	// ownerDialTimeout bounds the opening of a connection: a hundred round trips between availability zones.
+	// ownerDialTimeout bounds the establishment of a connection: a hundred round-trip times between availability zones.
 	ownerDialTimeout = 250 * time.Millisecond
 	// ownerIdleTimeout is how long an idle connection stays open.
 	ownerIdleTimeout = 10 * time.Second
@@ -28,13 +28,13 @@
 	ownerIdleConnections = 8
 )
 
-// Client sends requests to the owners of shards at other entries. It is safe for concurrent use. A failed request is not
-// logged here: the entry logs the answer to a submission, and the other results say what the failure means.
+// Client sends requests to the owners of shards at other entries. It is safe for concurrent use. Failed requests are not logged
+// here: the entry logs the answers to submissions, and the results of other requests reflect the failure.
 type Client struct {
 	client *http.Client
 }
 
-// NewClient returns a client of other entries. The clean-up closes its idle connections.
+// NewClient returns a client for requests to other entries, and a function that closes its idle connections.
 func NewClient() (*Client, func()) {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: ownerDialTimeout}).DialContext,
@@ -54,12 +54,12 @@
 	return toAnswer(c.rpcClient(address).Submit(ctx, PackJob(job)))
 }
 
-// State queries the state of a job at the owner's address.
+// State queries the state of a job from the owner at an address.
 func (c *Client) State(ctx context.Context, address, id string) Answer {
 	return toAnswer(c.rpcClient(address).State(ctx, &durablepb.JobRequest{Id: id}))
 }
 
-// Cancel cancels a job at the owner's address.
+// Cancel sends the cancellation of a job to the owner at an address.
 func (c *Client) Cancel(ctx context.Context, address, id string) Answer {
 	return toAnswer(c.rpcClient(address).Cancel(ctx, &durablepb.JobRequest{Id: id}))
 }
@@ -74,15 +74,15 @@
 	return int(answer.Jobs), true
 }
 
-// Surrender asks the entry at an address to stop serving a shard, and reports whether nothing more is started for it there:
-// the entry has confirmed that, or no process listens at the address any more.
+// Surrender asks the entry at an address to stop serving a shard, and reports whether that entry starts no more runs for it: it
+// has confirmed this, or the connection was refused because no process listens at the address.
 func (c *Client) Surrender(ctx context.Context, address string, shard Shard, token Token) bool {
 	_, err := c.rpcClient(address).Surrender(ctx, &durablepb.SurrenderRequest{Shard: uint32(shard), Token: int64(token)})
 	return err == nil || errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// toAnswer returns the answer of an owner, or what a failed request means. Without a connection the request was not sent, so
-// it is safe to send it elsewhere.
+// toAnswer returns the answer of an owner, or the answer that corresponds to a failed request. If no connection was
+// established, the request was not sent, and it is safe to send it to another entry.
 func toAnswer(answer *durablepb.Answer, err error) Answer {
 	var dial *net.OpError
 	switch {
--- a/internal/durable/durablepb/doc.go
+++ b/internal/durable/durablepb/doc.go
@@ -1,6 +1,6 @@
 // SPDX-FileCopyrightText: Copyright The sailhead contributors
 // SPDX-License-Identifier: MIT
 
-// Package durablepb is the protobuf and twirp code of package durable's records and calls, generated from durable.proto
-// by generate.sh.
+// Package durablepb contains the protobuf messages and Twirp services of package durable. It is generated from durable.proto by
+// generate.sh.
 package durablepb
--- a/internal/durable/durablepb/durable.twirp.go
+++ b/internal/durable/durablepb/durable.twirp.go
@@ -31,15 +31,15 @@
 // Keep Interface
 // ==============
 
-// Keep is served by every entry.
+// Keep is served by every entry for the other entries.
 type Keep interface {
-	// Submit sends a job to the owner of its shard. The answer comes once the job is written.
+	// Submit sends a job to the owner of its shard, which answers once the job is written.
 	Submit(context.Context, *Job) (*Answer, error)
 
-	// State returns the state of a job. For an unfinished one the answer may wait for the end.
+	// State returns the state of a job. For an unfinished job the answer may be delayed until the job ends.
 	State(context.Context, *JobRequest) (*Answer, error)
 
-	// Cancel cancels a job. The answer comes once that is written.
+	// Cancel cancels a job. The owner answers once the cancellation is written.
 	Cancel(context.Context, *JobRequest) (*Answer, error)
 
 	// Pending returns the number of jobs of a kind that the entry owns and that have not started a task.
--- a/internal/durable/durablepb/generate.sh
+++ b/internal/durable/durablepb/generate.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # SPDX-License-Identifier: MIT
-# generate.sh writes durable.pb.go and durable.twirp.go into the folder given, or beside itself.
+# generate.sh writes durable.pb.go and durable.twirp.go into the given folder, or into its own by default.
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 out=${1:-$here}
--- a/internal/durable/server.go
+++ b/internal/durable/server.go
@@ -13,26 +13,26 @@
 // PathPrefix is the prefix of the paths that NewServer's handler serves.
 const PathPrefix = durablepb.KeepPathPrefix
 
-// RequestEvent returns the event of a request that the given waiter waits for. The entry calls it once it has a waiter.
+// RequestEvent returns the event of a request with the given waiter. The entry calls it once it has allocated the waiter.
 type RequestEvent = func(Waiter) Event
 
-// LocalCoordinator is this entry's coordinator for requests of other entries. It is safe for concurrent use.
+// LocalCoordinator passes requests of other entries to this entry's coordinator. It is safe for concurrent use.
 type LocalCoordinator interface {
-	// AskLocal passes a request to the coordinator and waits for the answer. It returns InDoubt if none arrives before the
-	// context ends, the entry stops, or the store has not answered for some time.
+	// AskLocal passes a request to the coordinator and waits for the answer. It returns InDoubt if the context ends, the entry
+	// stops, or the store does not answer for some time before there is an answer.
 	AskLocal(ctx context.Context, event RequestEvent) Answer
-	// PendingLocal returns the number of jobs of a kind that are owned here and have not started a task. Jobs may be too low
-	// if isComplete is false.
+	// PendingLocal returns the number of jobs of a kind that this entry owns and that have not started a task. Jobs may be too
+	// low if isComplete is false.
 	PendingLocal(ctx context.Context, kind string) (jobs int, isComplete bool)
-	// SurrenderLocal stops serving a shard that was claimed elsewhere under a token, and returns once nothing more is
-	// started for it here.
+	// SurrenderLocal stops serving a shard that another entry has claimed under a token, and returns once this entry starts no
+	// more runs for it.
 	SurrenderLocal(ctx context.Context, shard Shard, token Token)
 }
 
 // server implements durablepb.Keep.
 type server struct{ local LocalCoordinator }
 
-// NewServer returns the handler of other entries' requests, to be served at PathPrefix.
+// NewServer returns the HTTP handler for requests of other entries, to be served at PathPrefix.
 func NewServer(local LocalCoordinator) http.Handler {
 	return durablepb.NewKeepServer(&server{local: local})
 }
@@ -63,7 +63,8 @@
 	return &durablepb.PendingResponse{Jobs: uint32(jobs), Incomplete: !isComplete}, nil
 }
 
-// Surrender stops serving a shard. A shard number that this version does not have is not served here.
+// Surrender stops serving a shard. Shard numbers out of range are confirmed without effect, since this entry does not serve
+// them.
 func (s *server) Surrender(ctx context.Context, r *durablepb.SurrenderRequest) (*durablepb.SurrenderResponse, error) {
 	if r.Shard < Shards {
 		s.local.SurrenderLocal(ctx, Shard(r.Shard), Token(r.Token))
