--- a/internal/durable/commit_test.go
+++ b/internal/durable/commit_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestNoCommitIsLargerThanATransaction releases all shards while each has batches to remove. The store takes 32 entries: what is
+// TestCommitsFitIntoATransaction releases all shards while each has batches to remove. The store takes 32 entries: what is
 // expected of each part's claim and batch, the batch, the removed batches and, at a release, the claim.
-func TestNoCommitIsLargerThanATransaction(t *testing.T) {
+func TestCommitsFitIntoATransaction(t *testing.T) {
 	c, _ := newOwner("00000000000000aa")
 	for _, s := range c.shards {
 		s.state, s.token = owned, 20
--- a/internal/durable/compatibility_test.go
+++ b/internal/durable/compatibility_test.go
@@ -54,7 +54,7 @@
 	return c, c.Handle(testStart, loaded)
 }
 
-func TestRecordsOf6144f75AreDecoded(t *testing.T) {
+func TestStoredRecordsAreDecoded(t *testing.T) {
 	progress := &durablepb.Progress{
 		Id: storedID, Done: []uint32{0, 2},
 		Failed: []*durablepb.FailedRun{{Task: 1, Run: 4, Agent: "agent-2"}, {Task: 1, Run: 5, Agent: "agent-3"}},
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestAJobOf6144f75IsRestored(t *testing.T) {
+func TestStoredJobIsRestored(t *testing.T) {
 	c, effects := loadStored(t, "released", "accepted", "progress")
 	restored, ok := find[ToDispatcher](effects)
 	if !ok {
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestEndsOf6144f75AreRestored(t *testing.T) {
+func TestStoredEndsAreRestored(t *testing.T) {
 	for name, want := range map[string]State{"ended-completed": StateCompleted, "ended-failed": StateFailed, "ended-cancelled": StateCancelled} {
 		for _, batches := range [][]string{{"accepted", "progress", name}, {name}} {
 			c, effects := loadStored(t, append([]string{"released"}, batches...)...)
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestOwnersOf6144f75AreRestored(t *testing.T) {
+func TestStoredOwnersAreRestored(t *testing.T) {
 	// The stored owner has the name of the coordinator under test but another address: it may be alive.
 	_, effects := loadStored(t, "owned")
 	call, ok := find[CallSurrender](effects)
--- a/internal/durable/random_test.go
+++ b/internal/durable/random_test.go
@@ -18,7 +18,7 @@
 
 var (
 	schedules = flag.Int("schedules", 40, "number of random schedules")
-	first     = flag.Uint64("first", 0, "seed of the first random schedule")
+	firstSeed = flag.Uint64("first", 0, "seed of the first random schedule")
 )
 
 // fakeStore is a store with one revision for all keys, and leases. Lost answers and late writes are the schedule's.
@@ -80,17 +80,17 @@
 }
 
 func (s *fakeStore) commit(c Commit) CommitResult {
-	var deposed CommitFenced
+	var fenced CommitFenced
 	for _, part := range c.Parts {
 		if _, ok := s.batches[part.Shard][part.Sequence]; ok {
 			return CommitWritten{}
 		}
 		if s.claims[part.Shard].Token != part.Token {
-			deposed.Shards = append(deposed.Shards, part.Shard)
+			fenced.Shards = append(fenced.Shards, part.Shard)
 		}
 	}
-	if len(deposed.Shards) > 0 {
-		return deposed
+	if len(fenced.Shards) > 0 {
+		return fenced
 	}
 	s.revision++
 	for _, part := range c.Parts {
@@ -115,14 +115,14 @@
 
 // fakeEntry is a coordinator with the jobs that its dispatcher has.
 type fakeEntry struct {
-	name        string
-	coordinator *Coordinator
-	alive       bool
-	frozen      bool
-	seen        int64
-	claimed     map[Shard]bool
-	// active are the jobs that the dispatcher may run, with the time from which it may.
-	active map[string]time.Time
+	name         string
+	coordinator  *Coordinator
+	alive        bool
+	frozen       bool
+	seenRevision int64
+	claimed      map[Shard]bool
+	// runnable are the jobs that the dispatcher may run, with the time from which it may.
+	runnable map[string]time.Time
 	// inbox are the events that arrive later.
 	inbox []delayed
 }
@@ -139,22 +139,22 @@
 	now     time.Time
 	store   *fakeStore
 	entries []*fakeEntry
-	// late are the writes that the store carries out later.
-	late []func()
-	next int
-	// promised are the jobs whose acceptance was answered, with the tasks whose ends were acknowledged.
-	promised map[string]map[string]bool
-	ended    map[string]State
-	asked    map[Waiter]string
-	jobs     map[string]dispatch.Job
-	calm     bool
+	// delayedWrites are the writes that the store carries out later.
+	delayedWrites []func()
+	next          int
+	// accepted are the jobs whose acceptance was answered, with the tasks whose ends were acknowledged.
+	accepted     map[string]map[string]bool
+	ended        map[string]State
+	openRequests map[Waiter]string
+	jobs         map[string]dispatch.Job
+	faultFree    bool
 }
 
 func newSchedule(t *testing.T, seed uint64) *schedule {
 	now := time.Unix(1_000_000, 0)
 	s := &schedule{
 		t: t, random: rand.New(rand.NewPCG(seed, 5)), now: now, store: newFakeStore(now),
-		promised: make(map[string]map[string]bool), ended: make(map[string]State), asked: make(map[Waiter]string),
+		accepted: make(map[string]map[string]bool), ended: make(map[string]State), openRequests: make(map[Waiter]string),
 		jobs: make(map[string]dispatch.Job),
 	}
 	for i := range 3 {
@@ -165,12 +165,12 @@
 	return s
 }
 
-func (s *schedule) chance(share float64) bool { return s.random.Float64() < share }
+func (s *schedule) chance(probability float64) bool { return s.random.Float64() < probability }
 
 func (s *schedule) start(e *fakeEntry) {
 	e.coordinator = New(Claim{Owner: e.name, Address: e.name, Incarnation: s.now.UnixNano()}, Limits{Jobs: 4096, StatusTime: time.Minute, LeaseTime: 6 * time.Second, Commits: 200})
-	e.alive, e.frozen, e.seen = true, false, 0
-	e.active, e.claimed, e.inbox = make(map[string]time.Time), make(map[Shard]bool), nil
+	e.alive, e.frozen, e.seenRevision = true, false, 0
+	e.runnable, e.claimed, e.inbox = make(map[string]time.Time), make(map[Shard]bool), nil
 	s.handle(e, EntriesChanged{Names: []string{"entry-0", "entry-1", "entry-2"}})
 	s.handle(e, StoreRead{HasJobs: true})
 }
@@ -198,7 +198,7 @@
 
 func (s *schedule) outcome() outcome {
 	switch {
-	case s.calm || s.chance(0.8):
+	case s.faultFree || s.chance(0.8):
 		return answered
 	case s.chance(0.4):
 		return unanswered
@@ -212,14 +212,14 @@
 func (s *schedule) apply(e *fakeEntry, effect Effect) {
 	switch effect := effect.(type) {
 	case CallLease:
-		asked := s.now
+		sent := s.now
 		var result LeaseResult = LeaseUnknown{}
 		if out := s.outcome(); out == answered || out == unanswered {
 			if granted := s.store.lease(effect.Lease, effect.Time); out == answered {
 				result = granted
 			}
 		}
-		s.post(e, LeaseAnswered{Lease: effect.Lease, Sent: asked, Result: result})
+		s.post(e, LeaseAnswered{Lease: effect.Lease, Sent: sent, Result: result})
 	case EndLease:
 		s.store.endLease(effect.Lease)
 	case CallClaim:
@@ -235,7 +235,7 @@
 	case ToDispatcher:
 		s.dispatch(e, effect.Event)
 	case AcknowledgeEnd:
-		if tasks, ok := s.promised[runner.JobOf(effect.Name)]; ok {
+		if tasks, ok := s.accepted[runner.JobOf(effect.Name)]; ok {
 			tasks[effect.Name] = true
 		}
 	}
@@ -248,7 +248,7 @@
 	case unanswered:
 		s.store.claim(c)
 	case postponed:
-		s.late = append(s.late, func() { s.store.claim(c) })
+		s.delayedWrites = append(s.delayedWrites, func() { s.store.claim(c) })
 	case refused:
 		return ClaimLost{}
 	}
@@ -262,7 +262,7 @@
 	case unanswered:
 		s.store.commit(c)
 	case postponed:
-		s.late = append(s.late, func() { s.store.commit(c) })
+		s.delayedWrites = append(s.delayedWrites, func() { s.store.commit(c) })
 	}
 	return CommitUnknown{}
 }
@@ -282,20 +282,20 @@
 }
 
 func (s *schedule) reply(r Reply) {
-	id, ok := s.asked[r.Waiter]
+	id, ok := s.openRequests[r.Waiter]
 	if !ok {
 		return
 	}
-	delete(s.asked, r.Waiter)
+	delete(s.openRequests, r.Waiter)
 	known, isKnown := r.Answer.(Known)
-	if _, isUnknown := r.Answer.(Unknown); isUnknown && s.promised[id] != nil {
+	if _, isUnknown := r.Answer.(Unknown); isUnknown && s.accepted[id] != nil {
 		s.t.Errorf("job %s was accepted and is unknown", id)
 	}
 	if !isKnown {
 		return
 	}
-	if s.promised[id] == nil {
-		s.promised[id] = make(map[string]bool)
+	if s.accepted[id] == nil {
+		s.accepted[id] = make(map[string]bool)
 	}
 	if was, hasEnded := s.ended[id]; hasEnded && was != known.State {
 		s.t.Errorf("job %s was shown as %d and is shown as %d", id, was, known.State)
@@ -312,8 +312,8 @@
 		if event.NotBefore.After(from) {
 			from = event.NotBefore
 		}
-		e.active[event.Job.ID] = from
-		for name := range s.promised[event.Job.ID] {
+		e.runnable[event.Job.ID] = from
+		for name := range s.accepted[event.Job.ID] {
 			if !slices.Contains(event.DoneTasks, name) {
 				s.t.Errorf("the end of task %s was acknowledged, and %s runs it again", name, e.name)
 			}
@@ -323,17 +323,17 @@
 		}
 	case dispatch.DurableDropped:
 		for _, id := range event.Jobs {
-			delete(e.active, id)
+			delete(e.runnable, id)
 		}
 	}
 }
 
 // watch passes the claims to an entry, like the watch of the store.
 func (s *schedule) watch(e *fakeEntry) {
-	if e.seen == s.store.revision || !s.calm && s.chance(0.7) {
+	if e.seenRevision == s.store.revision || !s.faultFree && s.chance(0.7) {
 		return
 	}
-	e.seen = s.store.revision
+	e.seenRevision = s.store.revision
 	claimed := make(map[Shard]bool)
 	for _, shard := range slices.Sorted(maps.Keys(s.store.claims)) {
 		claimed[shard] = true
@@ -341,7 +341,7 @@
 	}
 	for shard := range e.claimed {
 		if !claimed[shard] {
-			s.handle(e, ClaimRemoved{Shard: shard, Token: Token(e.seen)})
+			s.handle(e, ClaimRemoved{Shard: shard, Token: Token(e.seenRevision)})
 		}
 	}
 	e.claimed = claimed
@@ -350,9 +350,9 @@
 func (s *schedule) step() {
 	s.now = s.now.Add(10 * time.Millisecond)
 	s.store.expire(s.now)
-	if len(s.late) > 0 && s.chance(0.1) {
-		s.late[0]()
-		s.late = s.late[1:]
+	if len(s.delayedWrites) > 0 && s.chance(0.1) {
+		s.delayedWrites[0]()
+		s.delayedWrites = s.delayedWrites[1:]
 	}
 	for _, e := range s.entries {
 		if !e.alive || e.frozen {
@@ -364,7 +364,7 @@
 		s.deliver(e)
 		s.watch(e)
 		s.handle(e, Ticked{})
-		s.work(e)
+		s.runWorkload(e)
 	}
 	s.checkOwners()
 }
@@ -384,10 +384,10 @@
 	}
 }
 
-// work ends tasks of active jobs, submits jobs and queries states.
-func (s *schedule) work(e *fakeEntry) {
-	for _, id := range slices.Sorted(maps.Keys(e.active)) {
-		if s.now.Before(e.active[id]) || !s.chance(0.2) {
+// runWorkload ends tasks of active jobs, submits jobs and queries states.
+func (s *schedule) runWorkload(e *fakeEntry) {
+	for _, id := range slices.Sorted(maps.Keys(e.runnable)) {
+		if s.now.Before(e.runnable[id]) || !s.chance(0.2) {
 			continue
 		}
 		for _, name := range taskNames(s.jobs[id]) {
@@ -395,10 +395,10 @@
 			s.handle(e, TaskEnded{Agent: "a", Update: runner.Update{Name: name, Run: 1, Outcome: outcome}})
 		}
 		if len(taskNames(s.jobs[id])) > 0 {
-			delete(e.active, id)
+			delete(e.runnable, id)
 		}
 	}
-	if !s.calm && s.chance(0.1) {
+	if !s.faultFree && s.chance(0.1) {
 		s.next++
 		id := fmt.Sprintf("%016x", s.next)
 		s.jobs[id] = dispatch.Job{ID: id, Kind: dispatch.Kind{Name: "k", Attempts: 2}, Steps: []dispatch.Step{{Count: 2}}}
@@ -411,7 +411,7 @@
 			s.submit(e, id)
 		} else {
 			waiter := Waiter(s.random.Uint64())
-			s.asked[waiter] = id
+			s.openRequests[waiter] = id
 			s.handle(e, StateRequested{Job: id, Waiter: waiter})
 		}
 	}
@@ -419,7 +419,7 @@
 
 func (s *schedule) submit(e *fakeEntry, id string) {
 	waiter := Waiter(s.random.Uint64())
-	s.asked[waiter] = id
+	s.openRequests[waiter] = id
 	s.handle(e, Submitted{Job: s.jobs[id], Waiter: waiter})
 }
 
@@ -430,7 +430,7 @@
 		if !e.alive || e.frozen {
 			continue
 		}
-		for id, from := range e.active {
+		for id, from := range e.runnable {
 			if s.now.Before(from) {
 				continue
 			}
@@ -442,8 +442,8 @@
 	}
 }
 
-// trouble starts, unfreezes, kills or freezes an entry.
-func (s *schedule) trouble() {
+// injectFault starts, unfreezes, kills or freezes an entry.
+func (s *schedule) injectFault() {
 	e := s.entries[s.random.IntN(len(s.entries))]
 	switch {
 	case !e.alive:
@@ -457,16 +457,16 @@
 	}
 }
 
-func TestRandomSchedulesLoseNothingAndRunNothingAtTwoOwners(t *testing.T) {
-	for seed := *first; seed < *first+uint64(*schedules); seed++ {
+func TestRandomSchedulesLoseNoJobAndRunNoJobAtTwoOwners(t *testing.T) {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*schedules); seed++ {
 		s := newSchedule(t, seed)
 		for range 1200 {
 			s.step()
 			if s.chance(0.006) {
-				s.trouble()
+				s.injectFault()
 			}
 		}
-		s.calm = true
+		s.faultFree = true
 		for _, e := range s.entries {
 			if e.frozen {
 				e.frozen = false
@@ -487,7 +487,7 @@
 
 // checkEnds checks that every accepted job has ended.
 func (s *schedule) checkEnds() {
-	for _, id := range slices.Sorted(maps.Keys(s.promised)) {
+	for _, id := range slices.Sorted(maps.Keys(s.accepted)) {
 		var state State
 		for _, e := range s.entries {
 			if known, ok := e.coordinator.stateOf(id).(Known); ok {
