--- a/internal/durable/commit.go
+++ b/internal/durable/commit.go
@@ -103,11 +103,11 @@
 }
 
 // nextPart removes the changes of the next batch from the queue and returns the part of a commit that writes it.
-func (s *shard) nextPart(maxRemovals int) (Part, []*change) {
+func (s *shard) nextPart(removalBudget int) (Part, []*change) {
 	changes := s.nextBatch()
 	part := Part{Shard: s.number, Token: s.token, Sequence: s.nextSequence, Data: encodeBatch(recordsOf(changes))}
 	s.nextSequence++
-	count := min(maxRemovals, len(s.removable))
+	count := min(removalBudget, len(s.removable))
 	part.Remove = slices.Clone(s.removable[:count])
 	s.removable = s.removable[count:]
 	part.ReleasesClaim = s.releasing && len(s.queue) == 0
--- a/internal/durable/compatibility_test.go
+++ b/internal/durable/compatibility_test.go
@@ -18,8 +18,8 @@
 	"sailhead/internal/worker"
 )
 
-// The batches in testdata were written by the code of commit 6144f75 (package keep). Running systems have such
-// batches in their stores: code that needs other files here cannot read their jobs.
+// The batches in testdata were written by the code of commit 6144f75 (package keep). The stores of running systems hold such
+// batches, so the files must not be changed: code that fails with them cannot read the stored jobs.
 
 const storedID = "00000000000000aa"
 
@@ -96,7 +96,7 @@
 	c, effects := loadStored(t, "released", "accepted", "progress")
 	restored, ok := find[ToDispatcher](effects)
 	if !ok {
-		t.Fatal("the job is not given to the dispatcher")
+		t.Fatal("the job is not passed to the dispatcher")
 	}
 	want := dispatch.DurableAccepted{
 		Job: storedJob, DoneTasks: []string{storedID + ".0.0.0", storedID + ".0.1.0"},
@@ -108,12 +108,12 @@
 	if got := c.stateOf(storedID); got != (Known{State: StateRunning}) {
 		t.Errorf("state %v", got)
 	}
-	// A failed run that is on record is reported again: it must not count twice.
+	// A recorded failed run is reported again and must not count twice.
 	c.Handle(testStart, TaskEnded{Agent: "agent-3", Update: runner.Update{Name: storedID + ".0.0.1", Run: 5, Outcome: runner.OutcomeFailed}})
 	if got := c.shards[ShardOf(storedID)].jobs[storedID].failures(1); got != 2 {
 		t.Errorf("%d failed runs after a repeated report, want 2", got)
 	}
-	// The third failed run is the last that the stored job's attempts allow.
+	// The stored job allows three attempts, so its third failed run fails it.
 	c.Handle(testStart, TaskEnded{Agent: "agent-3", Update: runner.Update{Name: storedID + ".0.0.1", Run: 6, Outcome: runner.OutcomeFailed}})
 	if got := c.shards[ShardOf(storedID)].jobs[storedID].state; got != StateFailed {
 		t.Errorf("state %v after the third failed run", got)
@@ -125,7 +125,7 @@
 		for _, batches := range [][]string{{"accepted", "progress", name}, {name}} {
 			c, effects := loadStored(t, append([]string{"released"}, batches...)...)
 			if _, ok := find[ToDispatcher](effects); ok {
-				t.Errorf("%v: an ended job is given to the dispatcher", batches)
+				t.Errorf("%v: an ended job is passed to the dispatcher", batches)
 			}
 			if got := c.stateOf(storedID); got != (Known{State: want}) {
 				t.Errorf("%v: state %v, want %v", batches, got, want)
@@ -135,24 +135,22 @@
 }
 
 func TestStoredOwnersAreRestored(t *testing.T) {
-	// The stored owner has the name of the coordinator under test but another address: it may be alive.
+	// The stored owner has the name of the coordinator under test but another address, so its process may still run.
 	_, effects := loadStored(t, "owned")
 	call, ok := find[CallSurrender](effects)
 	if want := (CallSurrender{Shard: ShardOf(storedID), Token: 20, Address: "10.0.0.1:7000"}); !ok || call != want {
 		t.Errorf("called %+v, want %+v", call, want)
 	}
-	// An owner that has released the shard is not called.
+	// An owner that has released the shard must not be called.
 	_, effects = loadStored(t, "owned", "released")
 	if _, ok := find[CallSurrender](effects); ok {
 		t.Error("the owner of a released shard is called")
 	}
 }
 
-// TestARecordThatIsNotUnderstoodIsNoUnendedJob reads records of a later version: an end with a state that this version does not know,
-// and a record of an unknown kind.
-//
-// Seen by reading: the state of such an end counted as queued, so a job that had ended was run again, and an unknown record was left
-// out. The shard must stay unserved, as it does with a batch that cannot be decoded.
+// TestARecordThatIsNotUnderstoodIsNoUnendedJob loads records of a later version: an end with an unknown state, and a record of
+// an unknown type. It guards against treating such an end as a queued state, which would run an ended job again, and against
+// skipping an unknown record. The shard must not be served, as with a batch that cannot be decoded.
 func TestARecordThatIsNotUnderstoodIsNoUnendedJob(t *testing.T) {
 	ended := &durablepb.Record{Record: &durablepb.Record_Ended{Ended: &durablepb.Ended{Id: storedID, State: 17}}}
 	for name, record := range map[string]*durablepb.Record{"unknown state": ended, "unknown kind": {}} {
@@ -161,10 +159,10 @@
 			{Sequence: 1, Data: storedBatch(t, "accepted")}, {Sequence: 2, Data: encodeBatch([]*durablepb.Record{record})},
 		}})
 		if accepted, ok := find[ToDispatcher](effects); ok {
-			t.Errorf("%s: the dispatcher gets %+v", name, accepted.Event)
+			t.Errorf("%s: %+v is passed to the dispatcher", name, accepted.Event)
 		}
 		if decision, ok := find[DecisionMade](effects); !ok || decision.Decision != DecisionUnreadable {
-			t.Errorf("%s: decided %+v, want that the shard is unreadable", name, decision)
+			t.Errorf("%s: decision %+v, want DecisionUnreadable", name, decision)
 		}
 	}
 }
--- a/internal/durable/coordinator_test.go
+++ b/internal/durable/coordinator_test.go
@@ -16,7 +16,7 @@
 
 var testStart = time.Unix(1_000_000, 0)
 
-// newOwner returns a coordinator that holds a lease and has claimed the shard of a job, under token 20, without loading it.
+// newOwner returns a coordinator that holds a lease and has claimed the shard of a job under token 20 but not loaded it.
 func newOwner(job string) (*Coordinator, Shard) {
 	c := New(Claim{Owner: "entry-0", Address: "a", Incarnation: 1}, Limits{Jobs: 160, StatusTime: time.Minute, LeaseTime: 6 * time.Second, Commits: 1000})
 	c.Handle(testStart, ActivationRequested{})
@@ -29,7 +29,7 @@
 	return c, shard
 }
 
-// find returns the first effect of a type.
+// find returns the first effect of type T.
 func find[T Effect](effects []Effect) (found T, ok bool) {
 	for _, effect := range effects {
 		if found, ok = effect.(T); ok {
@@ -80,20 +80,20 @@
 	count := func() (isComplete bool) {
 		reply, ok := find[PendingReply](c.Handle(testStart, PendingRequested{Kind: "k", Waiter: 7}))
 		if !ok || reply.Waiter != 7 {
-			t.Fatalf("no reply to the request: %v", reply)
+			t.Fatalf("no reply to the request for pending jobs: %v", reply)
 		}
 		return reply.IsComplete
 	}
 	if count() {
-		t.Fatal("complete while the shard is being loaded")
+		t.Fatal("the count is complete while the shard is being loaded")
 	}
 	c.Handle(testStart, Loaded{Shard: shard, Token: 20})
 	if !count() {
-		t.Fatal("incomplete after the shard was loaded")
+		t.Fatal("the count is incomplete after the shard was loaded")
 	}
 	c.Handle(testStart.Add(7*time.Second), Ticked{})
 	if count() {
-		t.Fatal("complete although the lease has expired and the claim may still be in the store")
+		t.Fatal("the count is complete although the lease has expired and the claim may still be in the store")
 	}
 }
 
@@ -103,7 +103,7 @@
 	batch := encodeBatch([]*durablepb.Record{{Record: &durablepb.Record_Accepted{Accepted: PackJob(testJob(id))}}})
 	effects := c.Handle(testStart, Loaded{Shard: shard, Token: 20, Batches: []StoredBatch{{Sequence: 1, Data: batch}}})
 	if accepted, ok := find[ToDispatcher](effects); !ok || accepted.Event.(dispatch.DurableAccepted).Job.ID != id {
-		t.Fatal("the restored job is not given to the dispatcher")
+		t.Fatal("the restored job is not passed to the dispatcher")
 	}
 	if commit, ok := find[Commit](effects); ok {
 		c.Handle(testStart, Committed{Number: commit.Number, Result: CommitWritten{}})
@@ -118,12 +118,12 @@
 		t.Fatal("the end is not written")
 	}
 	if _, ok := find[AcknowledgeEnd](c.Handle(now, Committed{Number: commit.Number, Result: CommitUnknown{}})); ok {
-		t.Fatal("acknowledged although it may not be written")
+		t.Fatal("acknowledged although the write is not confirmed")
 	}
 	effects = c.Handle(now.Add(time.Second), Ticked{})
 	again, ok := find[Commit](effects)
 	if !ok || again.Number != commit.Number {
-		t.Fatal("the commit is not repeated unchanged")
+		t.Fatal("the commit is not retried with the same number")
 	}
 	if _, ok := find[AcknowledgeEnd](c.Handle(now.Add(time.Second), Committed{Number: again.Number, Result: CommitWritten{}})); !ok {
 		t.Fatal("not acknowledged after the write")
@@ -159,7 +159,7 @@
 		t.Fatalf("decision %+v", decision)
 	}
 	if _, ok := find[Commit](effects); ok {
-		t.Fatal("a shard that cannot be read is written")
+		t.Fatal("a commit was made for a shard that cannot be decoded")
 	}
 	if _, ok := find[Load](c.Handle(testStart.Add(loadRetryInterval), Ticked{})); !ok {
 		t.Fatal("not read again")
@@ -186,7 +186,7 @@
 	if got := c.stateOf(id); got != (Known{State: StateFailed}) {
 		t.Fatalf("state %v after the write", got)
 	}
-	// A job that has ended stays as it is, and one that is not known here is left to its owner.
+	// A job that has ended keeps its state, and a job that is unknown here is left to its owner.
 	if effects := c.Handle(now, JobGivenUp{Job: id}); len(effects) > 0 {
 		t.Errorf("effects %v of a job that has ended", effects)
 	}
--- a/internal/durable/fuzz_test.go
+++ b/internal/durable/fuzz_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// FuzzBatch restores a shard from a batch of another writer. A shard with a batch that cannot be read is not served, as the batch may
-// hold the end of a run.
+// FuzzBatch restores a shard from arbitrary batches. Restoring must fail exactly if decoding fails: a shard with an undecodable
+// batch must not be served, because the batch may hold the end of a run.
 func FuzzBatch(f *testing.F) {
 	stored, err := filepath.Glob("testdata/*.batch")
 	if err != nil || len(stored) == 0 {
--- a/internal/durable/random_test.go
+++ b/internal/durable/random_test.go
@@ -21,7 +21,8 @@
 	firstSeed = flag.Uint64("first", 0, "seed of the first random schedule")
 )
 
-// fakeStore is a store with one revision for all keys, and leases. Lost answers and late writes are the schedule's.
+// fakeStore is an in-memory store with leases and one revision for all keys. The schedule injects lost answers and delayed
+// writes.
 type fakeStore struct {
 	now      time.Time
 	revision int64
@@ -113,7 +114,7 @@
 	return batches
 }
 
-// fakeEntry is a coordinator with the jobs that its dispatcher has.
+// fakeEntry is a coordinator with the jobs that its dispatcher holds.
 type fakeEntry struct {
 	name         string
 	coordinator  *Coordinator
@@ -121,9 +122,9 @@
 	frozen       bool
 	seenRevision int64
 	claimed      map[Shard]bool
-	// runnable are the jobs that the dispatcher may run, with the time from which it may.
+	// runnable holds the jobs that the dispatcher may run, each with the time from which it may be run.
 	runnable map[string]time.Time
-	// inbox are the events that arrive later.
+	// inbox holds events with their delivery times.
 	inbox []delayed
 }
 
@@ -132,17 +133,17 @@
 	event Event
 }
 
-// schedule runs three coordinators against one store in virtual time.
+// schedule runs three coordinators against one store in virtual time, with random faults of the store and of the processes.
 type schedule struct {
 	t       *testing.T
 	random  *rand.Rand
 	now     time.Time
 	store   *fakeStore
 	entries []*fakeEntry
-	// delayedWrites are the writes that the store carries out later.
+	// delayedWrites holds writes that the store applies after their call has gone unanswered.
 	delayedWrites []func()
 	next          int
-	// accepted are the jobs whose acceptance was answered, with the tasks whose ends were acknowledged.
+	// accepted holds the jobs whose acceptance was reported, each with the tasks whose ends were acknowledged.
 	accepted     map[string]map[string]bool
 	ended        map[string]State
 	openRequests map[Waiter]string
@@ -175,7 +176,7 @@
 	s.handle(e, StoreRead{HasJobs: true})
 }
 
-// post delivers an event after some time, like the answers of other goroutines and processes.
+// post delivers an event after a random delay, which simulates the results of calls.
 func (s *schedule) post(e *fakeEntry, event Event) {
 	e.inbox = append(e.inbox, delayed{at: s.now.Add(time.Duration(s.random.IntN(30)) * time.Millisecond), event: event})
 }
@@ -186,7 +187,7 @@
 	}
 }
 
-// outcome is the fate of a call to the store.
+// outcome is the simulated result of a call to the store.
 type outcome int
 
 const (
@@ -267,7 +268,7 @@
 	return CommitUnknown{}
 }
 
-// surrender calls the earlier owner: a frozen one does not answer, a dead one refuses the connection.
+// surrender calls the previous owner. A frozen owner does not answer, and a terminated one refuses the connection.
 func (s *schedule) surrender(e *fakeEntry, call CallSurrender) {
 	for _, other := range s.entries {
 		if other.name != call.Address {
@@ -289,7 +290,7 @@
 	delete(s.openRequests, r.Waiter)
 	known, isKnown := r.Answer.(Known)
 	if _, isUnknown := r.Answer.(Unknown); isUnknown && s.accepted[id] != nil {
-		s.t.Errorf("job %s was accepted and is unknown", id)
+		s.t.Errorf("job %s was accepted and is reported as unknown", id)
 	}
 	if !isKnown {
 		return
@@ -298,7 +299,7 @@
 		s.accepted[id] = make(map[string]bool)
 	}
 	if was, hasEnded := s.ended[id]; hasEnded && was != known.State {
-		s.t.Errorf("job %s was shown as %d and is shown as %d", id, was, known.State)
+		s.t.Errorf("job %s was reported in final state %d and is now reported in state %d", id, was, known.State)
 	}
 	if known.State.IsEnd() {
 		s.ended[id] = known.State
@@ -315,11 +316,11 @@
 		e.runnable[event.Job.ID] = from
 		for name := range s.accepted[event.Job.ID] {
 			if !slices.Contains(event.DoneTasks, name) {
-				s.t.Errorf("the end of task %s was acknowledged, and %s runs it again", name, e.name)
+				s.t.Errorf("the end of task %s was acknowledged, but %s runs the task again", name, e.name)
 			}
 		}
 		if state, hasEnded := s.ended[event.Job.ID]; hasEnded {
-			s.t.Errorf("job %s was shown as %d, and %s runs it again", event.Job.ID, state, e.name)
+			s.t.Errorf("job %s was reported in final state %d, but %s runs it again", event.Job.ID, state, e.name)
 		}
 	case dispatch.DurableDropped:
 		for _, id := range event.Jobs {
@@ -328,7 +329,7 @@
 	}
 }
 
-// watch passes the claims to an entry, like the watch of the store.
+// watch simulates the watch of the store: it reports changed claims to an entry, with random delays.
 func (s *schedule) watch(e *fakeEntry) {
 	if e.seenRevision == s.store.revision || !s.faultFree && s.chance(0.7) {
 		return
@@ -384,7 +385,7 @@
 	}
 }
 
-// runWorkload ends tasks of active jobs, submits jobs and queries states.
+// runWorkload ends tasks of runnable jobs, submits jobs and queries states.
 func (s *schedule) runWorkload(e *fakeEntry) {
 	for _, id := range slices.Sorted(maps.Keys(e.runnable)) {
 		if s.now.Before(e.runnable[id]) || !s.chance(0.2) {
@@ -404,7 +405,7 @@
 		s.jobs[id] = dispatch.Job{ID: id, Kind: dispatch.Kind{Name: "k", Attempts: 2}, Steps: []dispatch.Step{{Count: 2}}}
 		s.submit(e, id)
 	}
-	// Later the state of an ended job may be forgotten, so that Unknown is a right answer.
+	// Jobs are queried only in the first 15 s: later an ended job may have been evicted, and Unknown would be a correct answer.
 	if s.next > 0 && s.chance(0.1) && s.now.Sub(time.Unix(1_000_000, 0)) < 15*time.Second {
 		id := fmt.Sprintf("%016x", 1+s.random.IntN(s.next))
 		if s.chance(0.3) {
@@ -423,7 +424,7 @@
 	s.handle(e, Submitted{Job: s.jobs[id], Waiter: waiter})
 }
 
-// checkOwners checks that no job may run at two entries that are not frozen.
+// checkOwners checks that no job may run at two entries at once. Frozen entries do not count.
 func (s *schedule) checkOwners() {
 	runs := make(map[string]string)
 	for _, e := range s.entries {
@@ -442,7 +443,7 @@
 	}
 }
 
-// injectFault starts, unfreezes, kills or freezes an entry.
+// injectFault terminates or freezes a random entry, or ends its fault if it has one.
 func (s *schedule) injectFault() {
 	e := s.entries[s.random.IntN(len(s.entries))]
 	switch {
@@ -485,7 +486,7 @@
 	}
 }
 
-// checkEnds checks that every accepted job has ended.
+// checkEnds checks that every accepted job is completed.
 func (s *schedule) checkEnds() {
 	for _, id := range slices.Sorted(maps.Keys(s.accepted)) {
 		var state State
@@ -495,7 +496,7 @@
 			}
 		}
 		if state != StateCompleted && s.ended[id] != StateCompleted {
-			s.t.Errorf("job %s was accepted and is in state %d in the end", id, state)
+			s.t.Errorf("job %s was accepted but is in state %d at the end of the schedule", id, state)
 		}
 	}
 }
