--- a/internal/durable/commit_test.go
+++ b/internal/durable/commit_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestCommitsFitIntoATransaction releases all shards while each has batches to remove. A transaction of the store has at most 32
-// entries: for each part the comparisons of the claim and of the batch's key, the put of the batch, the removed batches and, at a
-// release, the removal of the claim.
+// TestCommitsFitIntoATransaction releases all shards while each has batches to remove. A transaction of the store has at most
+// 32 entries: for each part the comparisons of the claim and of the batch's key, the put of the batch, the removed batches and,
+// at a release, the removal of the claim. It guards against a bound that leaves out the removal of claims.
 func TestCommitsFitIntoATransaction(t *testing.T) {
 	c, _ := newOwner("00000000000000aa")
 	for _, s := range c.shards {
--- a/internal/durable/events.go
+++ b/internal/durable/events.go
@@ -57,7 +57,8 @@
 // EntriesChanged lists the names of all known entries, this one included.
 type EntriesChanged struct{ Names []string }
 
-// StoreRead reports that the claims were read from the store. It follows the ClaimObserved and ClaimRemoved events of that read.
+// StoreRead reports that the claims were read from the store. It follows the ClaimObserved and ClaimRemoved events of that
+// read.
 type StoreRead struct {
 	// HasJobs is set if the store has ever held a durable job.
 	HasJobs bool
--- a/internal/durable/job.go
+++ b/internal/durable/job.go
@@ -65,8 +65,8 @@
 
 // taskNumber returns the number of the task with the given name; ok is false if the job has no such task.
 func (j *job) taskNumber(name string) (number uint32, ok bool) {
-	at := slices.Index(j.taskNames, name)
-	return uint32(max(at, 0)), at >= 0
+	index := slices.Index(j.taskNames, name)
+	return uint32(max(index, 0)), index >= 0
 }
 
 // The ends of runs determine the state of a job.
@@ -85,18 +85,18 @@
 		return false
 	case e.Update.Outcome == runner.OutcomeDone:
 		j.done[task] = true
-	case j.hasFailed(task, e):
+	case j.isRecordedFailure(task, e):
 		return false
 	default:
 		j.failed = append(j.failed, &durablepb.FailedRun{Task: task, Run: e.Update.Run, Agent: string(e.Agent)})
 	}
 	j.started = true
-	j.decideState(task)
+	j.updateState(task)
 	return true
 }
 
-// decideState updates the state of the job after a run of a task has ended.
-func (j *job) decideState(task uint32) {
+// updateState updates the state of the job after a run of a task has ended.
+func (j *job) updateState(task uint32) {
 	switch {
 	case len(j.done) == len(j.taskNames):
 		j.state = StateCompleted
@@ -105,8 +105,8 @@
 	}
 }
 
-// hasFailed reports whether a failed run is already recorded.
-func (j *job) hasFailed(task uint32, e TaskEnded) bool {
+// isRecordedFailure reports whether a failed run is already recorded.
+func (j *job) isRecordedFailure(task uint32, e TaskEnded) bool {
 	return slices.ContainsFunc(j.failed, func(f *durablepb.FailedRun) bool {
 		return f.Task == task && f.Run == e.Update.Run && f.Agent == string(e.Agent)
 	})
--- a/internal/durable/recovery.go
+++ b/internal/durable/recovery.go
@@ -27,8 +27,8 @@
 // State queries are answered once the shard is loaded. Jobs are accepted and cancelled once the previous owner has surrendered
 // or the call to it has failed, or at once if there is no owner to call.
 //
-// Reason: an owner that does not answer may be partitioned and still serve the shard. LeaseTime after this entry's claim, it has
-// either learned from the store that its own claim was removed, or has failed to renew its lease and dropped the shard. Its
+// Reason: an owner that does not answer may be partitioned and still serve the shard. LeaseTime after this entry's claim, it
+// has either learned from the store that its own claim was removed, or has failed to renew its lease and dropped the shard. Its
 // agents then stop the runs within timing.SessionLease and report ends that were not recorded; RecoveryDelay covers both.
 
 // loadRetryInterval is the time after which the read of a shard is repeated. The earlier read may still be in flight; the first
--- a/internal/durable/results.go
+++ b/internal/durable/results.go
@@ -30,8 +30,8 @@
 // ClaimWon reports that the claim is written, at revision Token.
 type ClaimWon struct{ Token Token }
 
-// ClaimLost reports that the claim was not written: the shard has another claim, the lease has expired, or the store refused the
-// call.
+// ClaimLost reports that the claim was not written: the shard has another claim, the lease has expired, or the store refused
+// the call.
 type ClaimLost struct{}
 
 // ClaimUnknown reports that the store did not answer: the claim may have been written or may still be.
