--- a/internal/durable/batch.go
+++ b/internal/durable/batch.go
@@ -11,34 +11,34 @@
 	"sailhead/internal/durable/durablepb"
 )
 
-// maxBatchSize is the largest size of a batch in bytes, unless a single record is larger.
+// maxBatchSize is the largest size of a batch in bytes. A single larger record is written in a batch of its own.
 const maxBatchSize = 256 << 10
 
-// change is a record to be written, with the effects that wait for its write.
+// change is a record to be written, with the effects that are emitted once it is written.
 type change struct {
 	record *durablepb.Record
-	// job is the job of the record, or nil.
+	// job is the job that the record belongs to, or nil.
 	job     *job
 	effects []Effect
 }
 
-// add queues a change. It replaces a queued change of the same job, unless that is its acceptance: the newest record of a job
-// holds all of its progress.
-func (s *shard) add(j *job, record *durablepb.Record, effects ...Effect) {
-	if j != nil && j.queued != nil && j.queued.record.GetAccepted() == nil {
-		j.queued.record = record
-		j.queued.effects = append(j.queued.effects, effects...)
+// enqueue queues a change. It replaces a queued change of the same job, because the newest record of a job holds all of its
+// progress. A queued acceptance is not replaced.
+func (s *shard) enqueue(j *job, record *durablepb.Record, effects ...Effect) {
+	if j != nil && j.queuedChange != nil && j.queuedChange.record.GetAccepted() == nil {
+		j.queuedChange.record = record
+		j.queuedChange.effects = append(j.queuedChange.effects, effects...)
 		return
 	}
 	ch := &change{record: record, job: j, effects: effects}
 	s.queue = append(s.queue, ch)
 	if j != nil {
-		j.queued = ch
+		j.queuedChange = ch
 		j.unwritten++
 	}
 }
 
-// nextBatch takes the changes of the next batch off the queue.
+// nextBatch removes the changes of the next batch from the queue and returns them.
 func (s *shard) nextBatch() []*change {
 	size, count := 0, 0
 	for _, ch := range s.queue {
@@ -47,8 +47,8 @@
 			break
 		}
 		count++
-		if ch.job != nil && ch.job.queued == ch {
-			ch.job.queued = nil
+		if ch.job != nil && ch.job.queuedChange == ch {
+			ch.job.queuedChange = nil
 		}
 	}
 	taken := s.queue[:count:count]
@@ -56,13 +56,12 @@
 	return taken
 }
 
-// requeue puts the changes of a rejected commit back before those that were queued since, so that a job's records keep their
-// order.
+// requeue puts the changes of a rejected commit back at the head of the queue, so that the records of a job keep their order.
 func (s *shard) requeue(changes []*change) {
 	s.queue = append(slices.Clone(changes), s.queue...)
 }
 
-// batchWritten records which batches are in the store after a part was written.
+// batchWritten updates the set of stored batches after a part was written.
 func (s *shard) batchWritten(part Part) {
 	s.stored[part.Sequence] = true
 	for _, removed := range part.Remove {
@@ -70,11 +69,12 @@
 	}
 }
 
-// retain counts one more record of use in a batch.
-func (s *shard) retain(batch Sequence) { s.recordCounts[batch]++ }
+// retainBatch increments the number of live records in a batch.
+func (s *shard) retainBatch(batch Sequence) { s.recordCounts[batch]++ }
 
-// release counts one less, and makes the batch removable if none is left. 0 is no batch.
-func (s *shard) release(batch Sequence) {
+// releaseBatch decrements the number of live records in a batch, and makes the batch removable if none is left. Sequence 0 is
+// ignored.
+func (s *shard) releaseBatch(batch Sequence) {
 	if batch == 0 {
 		return
 	}
