--- a/internal/cluster/directory_test.go
+++ b/internal/cluster/directory_test.go
@@ -41,7 +41,7 @@
 	d.AddMember(agentOf(5))
 	d.RemoveMember(now, agentOf(4))
 	if len(d.Members(RoleAgent)) != 1 {
-		t.Fatal("ForgetMember removed a newer incarnation")
+		t.Fatal("RemoveMember removed a newer incarnation")
 	}
 	d.RemoveMember(now, agentOf(5))
 	if d.AddMember(agentOf(5)) || len(d.Members(RoleAgent)) != 0 {
--- a/internal/cluster/stored_test.go
+++ b/internal/cluster/stored_test.go
@@ -14,7 +14,7 @@
 	"sailhead/internal/worker"
 )
 
-// TestStoredMembersStayReadable decodes records written by Member.Encode of commit 6144f75, and encodes them to the same bytes. It guards the
+// TestStoredMembersStayReadable decodes records that an earlier version of Member.Encode wrote, and encodes them to the same bytes. It guards the
 // format of the platform's store against incompatible changes.
 func TestStoredMembersStayReadable(t *testing.T) {
 	for file, want := range map[string]Member{
--- a/internal/durable/compatibility_test.go
+++ b/internal/durable/compatibility_test.go
@@ -18,7 +18,7 @@
 	"sailhead/internal/worker"
 )
 
-// The batches in testdata were written by the code of commit 6144f75 (package keep). The stores of running systems hold such
+// The batches in testdata were written by an earlier version. The stores of running systems hold such
 // batches, so the files must not be changed: code that fails with them cannot read the stored jobs.
 
 const storedID = "00000000000000aa"
--- a/internal/entry/shards_test.go
+++ b/internal/entry/shards_test.go
@@ -22,7 +22,7 @@
 		t.Error("possible although the store has just answered that there are none")
 	}
 	if !v.mayHaveJobs(now.Add(timing.StoreDataMaxAge + time.Millisecond)) {
-		t.Error("ruled out although the store has not answered for longer than timing.StoreUpdateLifetime")
+		t.Error("ruled out although the store has not answered for longer than timing.StoreDataMaxAge")
 	}
 	if !v.storeUpdated(now, true) || v.storeUpdated(now, true) {
 		t.Error("the first durable job is not reported exactly once")
--- a/internal/runner/orphan.go
+++ b/internal/runner/orphan.go
@@ -75,8 +75,8 @@
 
 // sendLoadIfKnowledgeChanged sends the load when knowsAllEnds changes, because an owner of durable jobs may be waiting for it.
 func (r *Runner) sendLoadIfKnowledgeChanged(now time.Time) {
-	if hasHeard := r.knowsAllEnds(now); hasHeard != r.lastKnowsAllEnds {
-		r.lastKnowsAllEnds = hasHeard
+	if knowsAllEnds := r.knowsAllEnds(now); knowsAllEnds != r.lastKnowsAllEnds {
+		r.lastKnowsAllEnds = knowsAllEnds
 		r.markLoadDue()
 	}
 }
